--- a/core/src/main/java/org/streamring/kernel/placement/KeptParts.java
+++ b/core/src/main/java/org/streamring/kernel/placement/CachedPromptParts.java
@@ -6,30 +6,30 @@
 import java.util.Map;
 
 /**
- * The parts of prompts that a replica likely keeps in its memory: those read there last, up to its capacity. A part
- * saves reading only if all parts before it are kept as well. Confined to one thread.
+ * Prompt parts that are probably in the cache of a replica: the most recently used ones, up to its capacity. A cached
+ * part is useful only if all parts before it are cached as well. Confined to one thread.
  */
-final class KeptParts {
+final class CachedPromptParts {
     private static final int INITIAL_PARTS = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
     private final Map<String, Long> parts = new LinkedHashMap<>(INITIAL_PARTS, LOAD_FACTOR, true);
     private long tokens;
 
-    /** Tokens at the beginning of a prompt that need not be read again. */
-    long keptTokens(List<PromptPart> prompt) {
-        long kept = 0;
+    /** Returns the number of tokens at the start of a prompt that are cached. */
+    long cachedTokens(List<PromptPart> prompt) {
+        long cached = 0;
         for (PromptPart part : prompt) {
             if (!parts.containsKey(part.id())) {
-                return kept;
+                return cached;
             }
-            kept += part.tokens();
+            cached += part.tokens();
         }
-        return kept;
+        return cached;
     }
 
-    /** Notes that a prompt is read; what was unused for longest gives way. */
-    void read(List<PromptPart> prompt, long capacityTokens) {
+    /** Adds the parts of a prompt and evicts the least recently used parts above the capacity. */
+    void add(List<PromptPart> prompt, long capacityTokens) {
         for (PromptPart part : prompt) {
             Long before = parts.put(part.id(), part.tokens());
             tokens += part.tokens() - (before == null ? 0 : before);
--- a/core/src/main/java/org/streamring/kernel/placement/ColdLimit.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ColdLimit.java
@@ -1,16 +1,16 @@
 package org.streamring.kernel.placement;
 
 /**
- * What a cold replica bears, of all entries together.
+ * Request rate that a cold replica can handle, for all entries together.
  *
- * @param perSecond requests in a second that it bears while it is cold; 0 where it bears any number
- * @param mostInSecond requests in any second beyond which it may fall over
+ * @param perSecond requests per second that the replica can sustain while it is cold; 0 means no limit
+ * @param mostInSecond maximum number of requests in any one second; above it the replica may crash
  */
 public record ColdLimit(double perSecond, double mostInSecond) {
-    /** Of a service whose replicas are never cold. */
+    /** No limit, for a service whose replicas are never cold. */
     public static final ColdLimit NONE = new ColdLimit(0, 0);
 
-    /** Whether there is a limit. */
+    /** Returns whether cold replicas are limited. */
     public boolean binds() {
         return perSecond > 0;
     }
--- a/core/src/main/java/org/streamring/kernel/placement/ColdReplicas.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ColdReplicas.java
@@ -9,21 +9,22 @@
 import org.streamring.kernel.routing.RendezvousHash;
 
 /**
- * Which replicas are cold, and how many requests this entry may send to each meanwhile.
+ * Tracks which replicas are cold, and limits the number of requests that this entry sends to each of them.
  *
- * <p>Entries may not hear each other, so what one sends follows from what it knows alone: a few entries, the owners,
- * are chosen for each replica among all that may be alive, and each has a fixed part of what the replica bears; the
- * others send it nothing. An even part for every entry would be less than one request a second where there are more
- * entries than that. Views of the fleet may differ until they make twice as many owners. Confined to one thread.
+ * <p>Entries may be unable to reach each other, so each entry decides from its own view of the fleet. For each replica
+ * a few entries, the owners, are chosen among all entries that may be alive. Each owner may use a fixed part of the
+ * request rate that the replica can handle; other entries send it nothing. With equal parts for all entries, a part
+ * would be less than one request per second in a large fleet. The limit holds even if entries have different views of
+ * the fleet, up to twice the number of owners. Confined to one thread.
  */
 public final class ColdReplicas {
-    /** One or two may be gone; with more of them the part of each would be small. */
+    /** Number of owners of a replica: one or two may fail, and with more owners the part of each would be small. */
     static final int OWNERS = 3;
 
-    /** Owners of one replica by all views together: those of two views that share none. */
-    static final int OWNERS_BY_ALL_VIEWS = 2 * OWNERS;
+    /** Maximum number of owners of one replica according to all views: two views without a common owner. */
+    static final int MAX_OWNERS = 2 * OWNERS;
 
-    /** A request may leave up to 500 ms after it is placed, when its connection is there, and counts in that second. */
+    /** One second, plus up to 500 ms between placing a request and sending it, when its connection is established. */
     static final long WINDOW_MILLIS = 1_500;
 
     private final String own;
@@ -31,71 +32,75 @@
     private final Map<String, Long> coldUntil = new HashMap<>();
     private final Map<String, Deque<Long>> placed = new HashMap<>();
     private final Map<String, Boolean> owned = new HashMap<>();
-    private Set<String> knownEntries = Set.of();
+    private Set<String> lastSeenEntries = Set.of();
 
     /**
-     * Creates one that knows of no cold replica.
+     * Creates an instance without cold replicas.
      *
      * @param own name of this entry
-     * @param entries names of all entries that may be alive, this one among them; empty while they are not known
+     * @param entries names of all entries that may be alive, including this one; empty while they are unknown
      */
     public ColdReplicas(String own, Supplier<Set<String>> entries) {
         this.own = own;
         this.entries = entries;
     }
 
-    /** Takes a replica's word that it stays cold for so long; of several the latest end counts. */
+    /**
+     * Records a report of a replica that it is cold. If there are several reports, the latest end applies.
+     *
+     * @param remainingMillis time for which the replica stays cold; ignored unless positive
+     */
     public void heard(String replica, long remainingMillis, long nowMillis) {
         if (remainingMillis > 0) {
             coldUntil.merge(replica, nowMillis + remainingMillis, Math::max);
         }
     }
 
-    /** Whether a replica is cold. */
+    /** Returns whether a replica is cold. */
     public boolean isCold(String replica, long nowMillis) {
         return coldUntil.getOrDefault(replica, Long.MIN_VALUE) > nowMillis;
     }
 
-    /** Whether this entry may send a replica one more request now; always for one that is warm. */
+    /** Returns whether this entry may send a replica one more request now; always true for a warm replica. */
     public boolean takes(String replica, ColdLimit limit, long nowMillis) {
         if (!limit.binds() || !isCold(replica, nowMillis)) {
             return true;
         }
-        return owns(replica) && placedSince(replica, nowMillis - WINDOW_MILLIS) < part(limit);
+        return owns(replica) && placedSince(replica, nowMillis - WINDOW_MILLIS) < requestsPerOwner(limit);
     }
 
-    /** Notes a request that is placed at a replica. */
+    /** Records a request that is placed at a replica. */
     public void placed(String replica, long nowMillis) {
         Deque<Long> times = placed.computeIfAbsent(replica, key -> new ArrayDeque<>());
         times.addLast(nowMillis);
         placedSince(replica, nowMillis - WINDOW_MILLIS);
     }
 
-    /** Forgets replicas that are gone. */
+    /** Removes all replicas except the given ones. */
     public void keepOnly(Set<String> replicas) {
         coldUntil.keySet().retainAll(replicas);
         placed.keySet().retainAll(replicas);
         owned.keySet().retainAll(replicas);
     }
 
-    /** Requests that one owner may place within the window. */
-    static int part(ColdLimit limit) {
-        int safe = (int) (limit.mostInSecond() / OWNERS_BY_ALL_VIEWS);
-        int borne = Math.max(1, (int) (limit.perSecond() / OWNERS));
-        return Math.min(safe, borne);
+    /** Returns the number of requests that one owner may place within {@link #WINDOW_MILLIS}. */
+    static int requestsPerOwner(ColdLimit limit) {
+        int peak = (int) (limit.mostInSecond() / MAX_OWNERS);
+        int sustained = Math.max(1, (int) (limit.perSecond() / OWNERS));
+        return Math.min(peak, sustained);
     }
 
     private boolean owns(String replica) {
-        Set<String> known = entries.get();
-        if (!known.equals(knownEntries)) {
-            knownEntries = Set.copyOf(known);
+        Set<String> currentEntries = entries.get();
+        if (!currentEntries.equals(lastSeenEntries)) {
+            lastSeenEntries = Set.copyOf(currentEntries);
             owned.clear();
         }
-        return owned.computeIfAbsent(replica, this::chosen);
+        return owned.computeIfAbsent(replica, this::isOwner);
     }
 
-    private boolean chosen(String replica) {
-        return RendezvousHash.order(replica, knownEntries).stream()
+    private boolean isOwner(String replica) {
+        return RendezvousHash.order(replica, lastSeenEntries).stream()
                 .limit(OWNERS)
                 .anyMatch(own::equals);
     }
--- a/core/src/main/java/org/streamring/kernel/placement/EngineSpeed.java
+++ b/core/src/main/java/org/streamring/kernel/placement/EngineSpeed.java
@@ -1,24 +1,24 @@
 package org.streamring.kernel.placement;
 
 /**
- * How fast the replicas of a service read prompts and begin to answer, learned from first events.
+ * Estimates how fast the replicas of a service process prompts and start to answer, from the times of first events.
  *
- * <p>Only prompts that met no other unread prompt of this entry tell something; others may still have waited for
- * prompts of other entries, so the median is followed and not the mean. Confined to one thread.
+ * <p>Uses only prompts that did not wait for another prompt of this entry. They may still have waited for prompts of
+ * other entries, so the estimates are medians instead of means. Confined to one thread.
  */
 final class EngineSpeed {
-    /** Between the two speeds, 57 and 32, of the engines on which this was measured first. */
+    /** Reference engines process 32 and 57 tokens per millisecond. */
     private static final double INITIAL_TOKENS_PER_MILLI = 40;
-    /** Time to the first event of a short prompt on the same engines: 70 to 115 ms. */
+    /** Reference engines send the first event of a short prompt after 70 to 115 ms. */
     private static final double INITIAL_FIRST_EVENT_MILLIS = 80;
-    /** After some ten samples the initial value no longer matters. */
+    /** The initial value has little effect after some ten samples. */
     private static final double STEP = 0.06;
-    /** Reading this much takes long enough to be told from the time that each request takes. */
+    /** Processing this many tokens takes long enough to be distinguished from the fixed time of each request. */
     private static final long LONG_PROMPT_TOKENS = 2_000;
 
     private static final long SHORT_PROMPT_TOKENS = 500;
 
-    /** Streams of some seventy events, 30 ms apart, on the same engines. */
+    /** Reference streams have some 70 events, 30 ms apart. */
     private static final double INITIAL_STREAM_MILLIS = 2_000;
 
     private final PauseCalibration pauses = new PauseCalibration();
@@ -26,8 +26,8 @@
     private final RunningMedian firstEventMillis = new RunningMedian(INITIAL_FIRST_EVENT_MILLIS, STEP);
     private final RunningMedian streamMillis = new RunningMedian(INITIAL_STREAM_MILLIS, STEP);
 
-    /** Notes the time to the first event of a prompt that met no unread one. */
-    void learn(long tokensRead, double millis) {
+    /** Adds the time to the first event of a prompt that did not wait for another one. */
+    void addFirstEvent(long tokensRead, double millis) {
         if (tokensRead <= SHORT_PROMPT_TOKENS) {
             firstEventMillis.add(Math.max(1, millis));
         } else if (tokensRead >= LONG_PROMPT_TOKENS && millis > firstEventMillis.value()) {
@@ -35,17 +35,17 @@
         }
     }
 
-    /** Notes how long a request held its slot. */
-    void held(double millis) {
+    /** Adds the time for which a request occupied its slot. */
+    void addSlotTime(double millis) {
         streamMillis.add(Math.max(1, millis));
     }
 
-    /** How long requests usually hold their slots. */
+    /** Returns the median time for which requests occupy their slots. */
     double streamMillis() {
         return streamMillis.value();
     }
 
-    /** How often pauses come in comparison with forecasts. */
+    /** Returns the ratio between observed and forecast pauses. */
     PauseCalibration pauses() {
         return pauses;
     }
--- a/core/src/main/java/org/streamring/kernel/placement/PlacedPrompt.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacedPrompt.java
@@ -1,27 +1,27 @@
 package org.streamring.kernel.placement;
 
 /**
- * One request at one replica, from its placement to its end: what it has to read there, and whether its stream could
- * still be made late by a pause. Confined to one thread.
+ * One request at one replica, from its placement to its end. Tracks the prompt tokens that the replica still has to
+ * process, and whether a pause made the stream late. Confined to one thread.
  */
 public final class PlacedPrompt {
     private final ReplicaState replica;
     private final EngineSpeed speed;
     private final long tokensToRead;
-    private final boolean alone;
+    private final boolean noPromptAhead;
     private final double weight;
     private final long pauseMillis;
     private final long startedMillis;
     private final PlacementForecast forecast;
-    private long newestEventMillis = -1;
+    private long lastEventMillis = -1;
     private boolean late;
-    private boolean over;
+    private boolean ended;
 
     PlacedPrompt(
             ReplicaState replica,
             EngineSpeed speed,
             PlacementForecast forecast,
-            boolean alone,
+            boolean noPromptAhead,
             double weight,
             long pauseMillis,
             long startedMillis) {
@@ -29,55 +29,57 @@
         this.speed = speed;
         this.forecast = forecast;
         this.tokensToRead = forecast.tokensToRead();
-        this.alone = alone;
+        this.noPromptAhead = noPromptAhead;
         this.weight = weight;
         this.pauseMillis = pauseMillis;
         this.startedMillis = startedMillis;
     }
 
-    /** What was expected when the replica was chosen. */
+    /** Returns the forecast made when the replica was chosen. */
     public PlacementForecast forecast() {
         return forecast;
     }
 
-    /** Notes bytes of the answer: the prompt was read, or a further event came. */
+    /**
+     * Records received bytes of the answer: the first ones show that the prompt was processed, later ones are events.
+     */
     public void answered(long nowMillis) {
-        if (over) {
+        if (ended) {
             return;
         }
-        if (newestEventMillis < 0) {
+        if (lastEventMillis < 0) {
             replica.promptRead(tokensToRead);
-            if (alone) {
-                speed.learn(tokensToRead, (double) (nowMillis - startedMillis));
+            if (noPromptAhead) {
+                speed.addFirstEvent(tokensToRead, (double) (nowMillis - startedMillis));
             }
         } else {
-            pause(nowMillis - newestEventMillis);
+            recordGap(nowMillis - lastEventMillis);
         }
-        newestEventMillis = nowMillis;
+        lastEventMillis = nowMillis;
     }
 
-    private void pause(long millis) {
+    private void recordGap(long millis) {
         replica.eventGap(millis);
         if (millis > pauseMillis && !late) {
             late = true;
-            replica.streamLost(weight);
+            replica.removeStreamWeight(weight);
         }
     }
 
-    /** Notes the end, of whatever kind; further calls have no effect. */
+    /** Records the end of the request, successful or not; further calls have no effect. */
     public void ended() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        if (newestEventMillis < 0) {
+        ended = true;
+        if (lastEventMillis < 0) {
             replica.promptRead(tokensToRead);
         } else {
             speed.pauses().ended(forecast.pauseProbability(), late);
-            speed.held((double) (newestEventMillis - startedMillis));
+            speed.addSlotTime((double) (lastEventMillis - startedMillis));
         }
         if (!late) {
-            replica.streamLost(weight);
+            replica.removeStreamWeight(weight);
         }
         replica.ended();
     }
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementForecast.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementForecast.java
@@ -1,11 +1,12 @@
 package org.streamring.kernel.placement;
 
 /**
- * What was expected of a request at the replica that was chosen for it.
+ * Forecast for a request at the replica that was chosen for it.
  *
- * @param tokensToRead tokens of its prompt that the replica does not keep
- * @param unreadTokens prompt tokens that the replica had to read before
- * @param firstEventMillis time from its placement to its first event
- * @param pauseProbability how likely a pause makes it late, before {@link PauseCalibration}
+ * @param tokensToRead tokens of the prompt that are not in the cache of the replica
+ * @param unreadTokens prompt tokens of earlier requests that the replica has to process first
+ * @param firstEventMillis time from the placement to the first event
+ * @param pauseProbability probability that a pause makes the stream late, not yet corrected by
+ *     {@link PauseCalibration}
  */
 public record PlacementForecast(long tokensToRead, long unreadTokens, long firstEventMillis, double pauseProbability) {}
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementQuery.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementQuery.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /**
- * A request that needs a replica.
+ * Request for which a replica is to be chosen.
  *
- * @param prompt its prompt
+ * @param prompt prompt of the request
  * @param rank urgency, 0 being the most urgent
  * @param firstEventMillis time within which the first event, or the answer, is expected
- * @param pauseMillis longest pause between events that is still in time
+ * @param pauseMillis longest pause between events with which the stream is not yet late
  * @param failureDomain failure domain of this entry
- * @param excluded replicas that were tried already
+ * @param excluded identifiers of replicas that were already tried
  */
 public record PlacementQuery(
         Prompt prompt, int rank, long firstEventMillis, long pauseMillis, String failureDomain, Set<String> excluded) {
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementReport.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementReport.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * What an entry tells others of its requests at replicas.
+ * Report that an entry sends to other entries about its requests at replicas.
  *
- * @param shares its part of each replica's load; replicas without any are left out
- * @param prompts prompts sent since its last report
+ * @param shares part of the load of each replica that this entry causes, by replica identifier; replicas without load
+ *     from this entry are omitted
+ * @param prompts prompts sent to replicas since the previous report
  */
 public record PlacementReport(Map<String, ReplicaShare> shares, List<PromptRead> prompts) {
-    /** Copies map and list. */
+    /** Copies the map and the list. */
     public PlacementReport {
         shares = Map.copyOf(shares);
         prompts = List.copyOf(prompts);
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
@@ -16,36 +16,37 @@
 import org.streamring.model.route.ServiceTraits;
 
 /**
- * Chooses replicas: for a plain service the one with the fewest requests, for model engines the one where least is lost
- * by it ({@link PlacementCost}). Confined to one thread.
+ * Chooses replicas: for a plain service the one with the fewest requests, for model engines the one with the lowest
+ * {@link PlacementCost}. Confined to one thread.
  */
 public final class PlacementTable {
-    /** Parts of prompts fill what running requests leave of a replica's memory. */
-    private static final double PART_OF_MEMORY_FOR_PARTS = 0.8;
+    /** Fraction of the memory of a replica that caches prompt parts; running requests use the rest. */
+    private static final double CACHE_MEMORY_FRACTION = 0.8;
 
     private final Random random;
     private final Map<String, ReplicaState> states = new HashMap<>();
     private final Map<String, String> incarnations = new HashMap<>();
     private final Map<String, EngineSpeed> speeds = new HashMap<>();
-    private final PlacementNews news = new PlacementNews();
+    private final UnreportedPrompts unreportedPrompts = new UnreportedPrompts();
 
     /**
      * Creates an empty table.
      *
-     * @param random breaks ties
+     * @param random random source for breaking ties
      */
     public PlacementTable(Random random) {
         this.random = random;
     }
 
-    /** State of a replica. */
+    /** Returns the state of a replica, creating it if necessary. */
     public ReplicaState state(String id) {
         return states.computeIfAbsent(id, key -> new ReplicaState());
     }
 
     /**
-     * Notes which process answers under an identifier. Another one keeps no parts of prompts and has not failed yet;
-     * attempts at the earlier one go on with its state, which nobody asks any more.
+     * Records which process currently uses a replica identifier. A new process starts with a new state: its cache is
+     * empty and it has no failures. Attempts at the earlier process still update the old state, which is no longer
+     * read.
      */
     public void listed(BackendInstance instance) {
         String before = incarnations.put(instance.id(), instance.incarnation());
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Forgets replicas that are gone, unless attempts still run there. */
+    /** Removes all replicas except the given ones and those where attempts of this entry are in progress. */
     public void keepOnly(Set<String> ids) {
         states.entrySet()
                 .removeIf(entry ->
@@ -65,92 +66,92 @@
     /**
      * Chooses a replica.
      *
-     * @param ready replicas of the service that take new requests
-     * @param entries live entries that share them
-     * @return empty if none may take the request now
+     * @param ready replicas of the service that accept new requests
+     * @param entries number of live entries that share the replicas
+     * @return the chosen replica, or empty if none can accept the request now
      */
     public Optional<BackendInstance> choose(
             PlacementQuery query, ServiceTraits service, List<BackendInstance> ready, int entries, long nowMillis) {
         List<BackendInstance> candidates = ready.stream()
                 .filter(instance -> !query.excluded().contains(instance.id()))
                 .filter(instance -> state(instance.id()).usable(nowMillis))
-                .filter(instance -> hasRoom(instance, query.rank(), entries))
+                .filter(instance -> hasFreeSlot(instance, query.rank(), entries))
                 .toList();
         return service.isEngine() ? cheapest(query, service, candidates, nowMillis) : leastLoaded(query, candidates);
     }
 
-    /** Notes that a request begins at a replica. */
+    /** Records that a request starts at a replica. */
     public PlacedPrompt started(PlacementQuery query, ServiceTraits service, BackendInstance instance, long nowMillis) {
         ReplicaState replica = state(instance.id());
         PlacementCost cost = cost(service, List.of(instance), nowMillis);
         PlacementForecast forecast = cost.forecast(query, replica, slotsOf(service, instance));
         if (service.isEngine()) {
-            replica.pauseCaused(cost.pauseAdded(query, replica, forecast.tokensToRead()), nowMillis);
-            news.read(instance.id(), query.prompt(), cost.readingMillis(replica, (double) forecast.tokensToRead()));
+            replica.recordPause(cost.pauseAdded(query, replica, forecast.tokensToRead()), nowMillis);
+            unreportedPrompts.add(
+                    instance.id(), query.prompt(), cost.readingMillis(replica, (double) forecast.tokensToRead()));
         }
         double weight = service.isEngine() ? PlacementCost.weight(query) : 0;
-        return replica.started(
-                query, speed(service), forecast, weight, memoryForParts(service.memoryTokens()), nowMillis);
+        return replica.started(query, speed(service), forecast, weight, cacheTokens(service.memoryTokens()), nowMillis);
     }
 
-    /** Says what to do when other entries should know of a long prompt before the next regular report. */
+    /** Sets the listener that is called when a long prompt should be reported before the next regular report. */
     public void onLongPrompt(Runnable listener) {
-        news.onLongPrompt(listener);
+        unreportedPrompts.onLongPrompt(listener);
     }
 
-    /** What other entries should know: this entry's load, and prompts sent since the last call. */
+    /** Returns the report for other entries: the load of this entry, and the prompts sent since the last call. */
     public PlacementReport report(long nowMillis) {
         Map<String, ReplicaShare> shares = new HashMap<>();
         states.forEach((id, replica) -> {
             ReplicaShare share = replica.ownShare(nowMillis);
-            if (share.matters()) {
+            if (share.isSignificant()) {
                 shares.put(id, share);
             }
         });
-        return new PlacementReport(shares, news.take());
+        return new PlacementReport(shares, unreportedPrompts.drain());
     }
 
     /**
-     * Takes what another entry reports, in place of what it reported before.
+     * Applies the report of another entry, replacing its previous one.
      *
-     * @param entry identifier of its process
-     * @param memoryOf memory of a replica in tokens, by its identifier; 0 if it is not known
+     * @param entry identifier of the process of that entry
+     * @param memoryOf memory of a replica in tokens, by its identifier; 0 if it is unknown
      */
     public void reported(String entry, PlacementReport report, ToLongFunction<String> memoryOf, long nowMillis) {
         forget(entry);
-        report.shares().forEach((id, share) -> state(id).told(entry, share, nowMillis));
+        report.shares().forEach((id, share) -> state(id).setPeerShare(entry, share, nowMillis));
         report.prompts().forEach(read -> state(read.replica())
-                .readForOther(read.parts(), memoryForParts(memoryOf.applyAsLong(read.replica()))));
+                .recordPeerPrompt(read.parts(), cacheTokens(memoryOf.applyAsLong(read.replica()))));
     }
 
-    /** Forgets the load of an entry from which nothing is heard any more. */
+    /** Removes the load of an entry that no longer sends reports. */
     public void forget(String entry) {
         states.values().forEach(replica -> replica.forget(entry));
     }
 
-    private boolean hasRoom(BackendInstance instance, int rank, int entries) {
+    private boolean hasFreeSlot(BackendInstance instance, int rank, int entries) {
         ReplicaState replica = state(instance.id());
         int capacity = Math.max(1, instance.slots());
-        return replica.running() < RankLimit.of(ownRoom(capacity, entries), rank)
-                || replica.runningOfAll() < RankLimit.of(sharedRoom(capacity), rank);
+        return replica.running() < RankLimit.of(guaranteedSlots(capacity, entries), rank)
+                || replica.runningOfAll() < RankLimit.of(sharedSlots(capacity), rank);
     }
 
-    /** Room that an entry uses whatever the others do. */
-    private static int ownRoom(int capacity, int entries) {
-        int own = entries <= 1 ? capacity : Math.max(2, (capacity * 2 + entries - 1) / entries);
-        return Math.min(own, capacity);
+    /** Returns the number of slots that an entry may use regardless of the load of other entries. */
+    private static int guaranteedSlots(int capacity, int entries) {
+        int doubleShare = entries <= 1 ? capacity : Math.max(2, (capacity * 2 + entries - 1) / entries);
+        return Math.min(doubleShare, capacity);
     }
 
     /**
-     * Room that whoever needs it uses, as long as the others leave it. Without it the entry that a busy account's
-     * callers reach refuses beside free replicas: 246 requests of 9,819 on a day on which one of forty accounts sent
-     * 2.7 times its usual for six seconds to 33 entries.
+     * Returns the number of slots that any entry may use as long as other entries do not use them. Without these shared
+     * slots, an entry that receives most requests of a busy account refuses requests while replicas have free slots:
+     * 246 of 9,819 requests when one of 40 accounts sent 2.7 times its usual rate for 6 s to a fleet of 33 entries.
      */
-    private static int sharedRoom(int capacity) {
-        return (int) (capacity * PlacementCost.FULL_PART);
+    private static int sharedSlots(int capacity) {
+        return (int) (capacity * PlacementCost.FULL_FRACTION);
     }
 
-    /** Nothing is learned of how long plain requests hold a slot, so no wait is forecast for them. */
+    /** Returns no limit for plain services: slot times are not measured for them, so no wait can be forecast. */
     private static int slotsOf(ServiceTraits service, BackendInstance instance) {
         return service.isEngine() ? instance.slots() : Integer.MAX_VALUE;
     }
@@ -161,7 +162,7 @@
         Map<String, Double> costs = new HashMap<>();
         candidates.forEach(instance -> costs.put(
                 instance.id(), cost.of(query, state(instance.id()), instance.slots(), sameDomain(query, instance))));
-        return inOrder(query.prompt(), candidates).stream()
+        return inPreferenceOrder(query.prompt(), candidates).stream()
                 .min(Comparator.comparingDouble(instance -> costs.get(instance.id())));
     }
 
@@ -178,8 +179,8 @@
         return shuffled;
     }
 
-    /** Among replicas that cost the same, all entries prefer the same one for prompts that begin alike. */
-    private List<BackendInstance> inOrder(Prompt prompt, List<BackendInstance> candidates) {
+    /** Sorts replicas so that, at equal cost, all entries choose the same replica for prompts with a common prefix. */
+    private List<BackendInstance> inPreferenceOrder(Prompt prompt, List<BackendInstance> candidates) {
         Optional<PromptPart> shared = prompt.lastShared();
         if (shared.isEmpty()) {
             return shuffled(candidates);
@@ -199,7 +200,7 @@
         return new PlacementCost(speed(service), typicalGapMillis(candidates), service.tokensPerEvent(), nowMillis);
     }
 
-    /** Median of the replicas' usual times between events. */
+    /** Returns the median over the candidates of their usual time between events. */
     private double typicalGapMillis(List<BackendInstance> candidates) {
         double[] gaps = candidates.stream()
                 .mapToDouble(instance -> state(instance.id()).eventGapMillis())
@@ -213,7 +214,7 @@
         return speeds.computeIfAbsent(service.name(), name -> new EngineSpeed());
     }
 
-    private static long memoryForParts(long memoryTokens) {
-        return (long) (memoryTokens * PART_OF_MEMORY_FOR_PARTS);
+    private static long cacheTokens(long memoryTokens) {
+        return (long) (memoryTokens * CACHE_MEMORY_FRACTION);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/placement/Prompt.java
+++ b/core/src/main/java/org/streamring/kernel/placement/Prompt.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 
 /**
- * The prompt of a request, and what may be asked of the replica after it.
+ * The prompt of a request, and the length of its answer.
  *
- * @param parts its parts in order, if they are known; the last one belongs to this request or its session alone
- * @param tokens its length; 0 for a plain request
- * @param answerTokens most tokens of the answer
- * @param likelyAnswerTokens tokens of the answer that its caller expects
+ * @param parts parts of the prompt in order, empty if unknown; the last one is used only by this request or its session
+ * @param tokens length of the prompt in tokens; 0 for a request to a plain service
+ * @param answerTokens maximum length of the answer in tokens
+ * @param likelyAnswerTokens length of the answer that the caller expects, in tokens
  */
 public record Prompt(List<PromptPart> parts, long tokens, long answerTokens, long likelyAnswerTokens) {
-    /** No prompt: a request to a plain service. */
+    /** Empty prompt of a request to a plain service. */
     public static final Prompt NONE = new Prompt(List.of(), 0, 0, 0);
 
     /** Copies the list. */
@@ -20,17 +20,17 @@
         parts = List.copyOf(parts);
     }
 
-    /** The last part that other prompts share. */
+    /** Returns the last part that other prompts may share, or empty if there is none. */
     public Optional<PromptPart> lastShared() {
         return parts.size() < 2 ? Optional.empty() : Optional.of(parts.get(parts.size() - 2));
     }
 
-    /** Tokens of all parts but the last. */
+    /** Returns the total length in tokens of all parts except the last. */
     public long sharedTokens() {
         return shared().stream().mapToLong(PromptPart::tokens).sum();
     }
 
-    /** All parts but the last. */
+    /** Returns all parts except the last. */
     public List<PromptPart> shared() {
         return parts.isEmpty() ? List.of() : parts.subList(0, parts.size() - 1);
     }
--- a/core/src/main/java/org/streamring/kernel/placement/PromptPart.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PromptPart.java
@@ -1,9 +1,9 @@
 package org.streamring.kernel.placement;
 
 /**
- * A part of a prompt, with which other prompts may begin as well.
+ * A part of a prompt, which other prompts may share as a prefix.
  *
- * @param id identifier of its text
- * @param tokens its length
+ * @param id identifier of the text
+ * @param tokens length in tokens
  */
 public record PromptPart(String id, long tokens) {}
--- a/core/src/main/java/org/streamring/kernel/placement/PromptRead.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PromptRead.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A prompt that a replica reads.
+ * A prompt that was sent to a replica.
  *
  * @param replica identifier of the replica
- * @param parts parts of the prompt that others share, in order
+ * @param parts parts of the prompt that other prompts may share, in order
  */
 public record PromptRead(String replica, List<PromptPart> parts) {
     /** Copies the list. */
--- a/core/src/main/java/org/streamring/kernel/placement/ReplicaHealth.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReplicaHealth.java
@@ -1,57 +1,61 @@
 package org.streamring.kernel.placement;
 
 /**
- * Health of one replica, judged by the results of this entry's own attempts: one that fails counts against it, one
- * that succeeds restores it. Confined to one thread.
+ * Health of one replica, derived from the results of the attempts of this entry: failures lead to an ejection, and a
+ * success after it makes the replica fully usable again. Confined to one thread.
  */
 final class ReplicaHealth {
-    private static final int FAILURES_TO_EJECT = 3;
-    private static final long FIRST_EJECTION_MILLIS = 800;
-    private static final long LONGEST_EJECTION_MILLIS = 4_000;
-    private static final double FAILURE_WEIGHT = 0.1;
-    private static final double FAILING_PART = 0.5;
+    private static final int EJECTION_FAILURES = 3;
+    private static final long MIN_EJECTION_MILLIS = 800;
+    private static final long MAX_EJECTION_MILLIS = 4_000;
+    private static final double FAILURE_RATE_STEP = 0.1;
+    private static final double MAX_FAILURE_RATE = 0.5;
 
     private int consecutiveFailures;
-    private double failingPart;
+    private double failureRate;
     private int ejections;
     private long ejectedUntilMillis;
-    private boolean onTrial;
+    private boolean probing;
 
-    /** Notes a sound answer. */
+    /** Records a successful answer. */
     void succeeded() {
         consecutiveFailures = 0;
         ejections = 0;
-        onTrial = false;
-        failingPart -= FAILURE_WEIGHT * failingPart;
+        probing = false;
+        failureRate -= FAILURE_RATE_STEP * failureRate;
     }
 
-    /** Notes an answer that the replica spoiled, or that never came. */
+    /** Records an answer that the replica failed to give or gave incorrectly. */
     void failed(long nowMillis) {
         consecutiveFailures++;
-        failingPart += FAILURE_WEIGHT * (1 - failingPart);
-        if (onTrial || consecutiveFailures >= FAILURES_TO_EJECT || failingPart > FAILING_PART) {
+        failureRate += FAILURE_RATE_STEP * (1 - failureRate);
+        if (probing || consecutiveFailures >= EJECTION_FAILURES || failureRate > MAX_FAILURE_RATE) {
             eject(nowMillis);
         }
     }
 
-    /** Notes that the replica can't be reached, or is silent. */
+    /** Records that the replica cannot be reached or has stopped responding. */
     void unreachable(long nowMillis) {
         consecutiveFailures++;
         eject(nowMillis);
     }
 
-    /** Whether the replica may get a request now; after an ejection one at a time until one succeeds. */
+    /**
+     * Returns whether the replica may receive a request now; after an ejection, one at a time until one succeeds.
+     *
+     * @param idle whether no attempt of this entry is in progress at the replica
+     */
     boolean usable(long nowMillis, boolean idle) {
-        return nowMillis >= ejectedUntilMillis && (!onTrial || idle);
+        return nowMillis >= ejectedUntilMillis && (!probing || idle);
     }
 
     private void eject(long nowMillis) {
         if (nowMillis < ejectedUntilMillis) {
             return;
         }
-        long pause = Math.min(LONGEST_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(ejections, 4));
-        ejectedUntilMillis = nowMillis + pause;
+        long ejectionMillis = Math.min(MAX_EJECTION_MILLIS, MIN_EJECTION_MILLIS << Math.min(ejections, 4));
+        ejectedUntilMillis = nowMillis + ejectionMillis;
         ejections++;
-        onTrial = true;
+        probing = true;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/placement/ReplicaShare.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReplicaShare.java
@@ -1,19 +1,19 @@
 package org.streamring.kernel.placement;
 
 /**
- * One entry's part of a replica's load.
+ * Part of the load of a replica that is caused by one entry.
  *
- * @param running requests in progress
- * @param unreadTokens prompt tokens sent and not yet read
- * @param weightOfStreams requests in progress that a pause would make late, by weight
- * @param recentPauses long prompts sent in the last seconds, by how likely each made a pause that is too long
+ * @param running number of requests in progress
+ * @param unreadTokens prompt tokens sent to the replica and not yet processed
+ * @param weightOfStreams total weight of the requests in progress that a pause would make late
+ * @param recentPauses expected number of overlong pauses that prompts of the last seconds cause for other streams
  */
 public record ReplicaShare(int running, long unreadTokens, double weightOfStreams, double recentPauses) {
-    /** Below this, a weight or a count of pauses makes no difference to a choice. */
+    /** Weights and pause counts below this value do not affect the choice of a replica. */
     private static final double NEGLIGIBLE = 0.01;
 
-    /** Whether the share is large enough to be told. */
-    boolean matters() {
+    /** Returns whether the share is large enough to be reported. */
+    boolean isSignificant() {
         return running > 0 || unreadTokens > 0 || weightOfStreams > NEGLIGIBLE || recentPauses > NEGLIGIBLE;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/placement/ReplicaState.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReplicaState.java
@@ -3,31 +3,31 @@
 import java.util.List;
 
 /**
- * What this entry knows of one replica: its health, the requests that it runs for this entry and, as far as they told,
- * for other entries, and the parts of prompts that it likely keeps. Confined to one thread.
+ * State of one replica as seen by this entry: its health, the requests that it runs for this entry and, according to
+ * their reports, for other entries, and the prompt parts that are probably in its cache. Confined to one thread.
  */
 public final class ReplicaState {
-    /** Long prompts of the last seconds tell how many more will come while a stream lasts. */
-    private static final double RECENT_MILLIS = 3_000;
-    /** Some thirty events, about a second of one stream, show a replica that turned slow. */
-    private static final double GAP_STEP = 0.05;
+    /** Decay time of the count of recent pauses, which predicts how many pauses occur during a stream. */
+    private static final double PAUSE_DECAY_MILLIS = 3_000;
+    /** A replica that became slow is detected after some 30 events, about one second of one stream. */
+    private static final double EVENT_GAP_STEP = 0.05;
 
-    /** Time between two events before any was seen; a guess, which the first events replace. */
+    /** Assumed time between two events until events have arrived. */
     static final double INITIAL_GAP_MILLIS = 30;
 
-    private static final int GAPS_NEEDED = 20;
+    private static final int MIN_GAP_SAMPLES = 20;
 
     private final ReplicaHealth health = new ReplicaHealth();
-    private final KeptParts kept = new KeptParts();
-    private final RunningMedian eventGap = new RunningMedian(INITIAL_GAP_MILLIS, GAP_STEP);
-    private final OthersLoad others = new OthersLoad();
+    private final CachedPromptParts cachedParts = new CachedPromptParts();
+    private final RunningMedian eventGap = new RunningMedian(INITIAL_GAP_MILLIS, EVENT_GAP_STEP);
+    private final PeerLoad peers = new PeerLoad();
     private int running;
     private long unreadTokens;
     private double weightOfStreams;
     private double recentPauses;
-    private long recentMillis;
+    private long recentPausesUpdatedMillis;
 
-    /** Notes a request that begins here. */
+    /** Records a request that starts at this replica. */
     PlacedPrompt started(
             PlacementQuery query,
             EngineSpeed speed,
@@ -36,30 +36,30 @@
             long memoryTokens,
             long nowMillis) {
         Prompt prompt = query.prompt();
-        boolean alone = forecast.unreadTokens() == 0;
+        boolean noPromptAhead = forecast.unreadTokens() == 0;
         running++;
         unreadTokens += forecast.tokensToRead();
         weightOfStreams += weight;
-        kept.read(prompt.parts(), memoryTokens);
-        return new PlacedPrompt(this, speed, forecast, alone, weight, query.pauseMillis(), nowMillis);
+        cachedParts.add(prompt.parts(), memoryTokens);
+        return new PlacedPrompt(this, speed, forecast, noPromptAhead, weight, query.pauseMillis(), nowMillis);
     }
 
-    /** Notes a prompt that another entry sent here. */
-    void readForOther(List<PromptPart> parts, long memoryTokens) {
-        kept.read(parts, memoryTokens);
+    /** Records a prompt that another entry sent to this replica. */
+    void recordPeerPrompt(List<PromptPart> parts, long memoryTokens) {
+        cachedParts.add(parts, memoryTokens);
     }
 
-    /** Takes what another entry told of its requests here. */
-    void told(String entry, ReplicaShare share, long nowMillis) {
-        others.told(entry, share, nowMillis);
+    /** Sets the load that another entry reported for this replica. */
+    void setPeerShare(String entry, ReplicaShare share, long nowMillis) {
+        peers.setShare(entry, share, nowMillis);
     }
 
-    /** Forgets what another entry told. */
+    /** Removes the load that another entry reported. */
     void forget(String entry) {
-        others.forget(entry);
+        peers.forget(entry);
     }
 
-    /** This entry's part of the load. */
+    /** Returns the part of the load that this entry causes. */
     ReplicaShare ownShare(long nowMillis) {
         return new ReplicaShare(running, unreadTokens, weightOfStreams, ownRecentPauses(nowMillis));
     }
@@ -68,7 +68,7 @@
         unreadTokens -= tokens;
     }
 
-    void streamLost(double weight) {
+    void removeStreamWeight(double weight) {
         weightOfStreams -= weight;
     }
 
@@ -80,67 +80,71 @@
         eventGap.add((double) Math.max(1, millis));
     }
 
-    /** Notes that a prompt placed here makes a pause for the streams beside it, with this probability. */
-    void pauseCaused(double probability, long nowMillis) {
+    /**
+     * Records a prompt that is sent to this replica while other streams run there.
+     *
+     * @param probability probability that these streams pause for too long because of the prompt
+     */
+    void recordPause(double probability, long nowMillis) {
         recentPauses = ownRecentPauses(nowMillis) + probability;
-        recentMillis = nowMillis;
+        recentPausesUpdatedMillis = nowMillis;
     }
 
     private double ownRecentPauses(long nowMillis) {
-        return recentPauses * Math.exp(-(nowMillis - recentMillis) / RECENT_MILLIS);
+        return recentPauses * Math.exp(-(nowMillis - recentPausesUpdatedMillis) / PAUSE_DECAY_MILLIS);
     }
 
-    /** Pauses that prompts of all entries cause here, in a millisecond on average. */
+    /** Returns the average number of pauses per millisecond that prompts of all entries cause at this replica. */
     double pausesPerMilli(long nowMillis) {
-        return (ownRecentPauses(nowMillis) + others.recentPauses()) / RECENT_MILLIS;
+        return (ownRecentPauses(nowMillis) + peers.recentPauses()) / PAUSE_DECAY_MILLIS;
     }
 
-    /** Tokens of a prompt that are not kept here. */
+    /** Returns the number of tokens of a prompt that are not in the cache of this replica. */
     long tokensToRead(Prompt prompt) {
-        return Math.max(0, prompt.tokens() - kept.keptTokens(prompt.parts()));
+        return Math.max(0, prompt.tokens() - cachedParts.cachedTokens(prompt.parts()));
     }
 
-    /** Prompt tokens of all entries that were sent and are likely not yet read. */
+    /** Returns the estimated number of prompt tokens of all entries that were sent and are not yet processed. */
     double unreadTokens(long nowMillis, double tokensPerMilli) {
-        return unreadTokens + others.unreadTokens(nowMillis, tokensPerMilli);
+        return unreadTokens + peers.unreadTokens(nowMillis, tokensPerMilli);
     }
 
-    /** Streams of all entries that a pause would make late, by weight. */
+    /** Returns the total weight of the streams of all entries that a pause would make late. */
     double weightOfStreams() {
-        return weightOfStreams + others.weightOfStreams();
+        return weightOfStreams + peers.weightOfStreams();
     }
 
-    /** Usual time between two events; 0 if too few came. */
+    /** Returns the median time between two events; 0 until enough events have arrived. */
     double eventGapMillis() {
-        return eventGap.samples() < GAPS_NEEDED ? 0 : eventGap.value();
+        return eventGap.samples() < MIN_GAP_SAMPLES ? 0 : eventGap.value();
     }
 
-    /** Notes a sound answer. */
+    /** Records a successful answer. */
     public void succeeded() {
         health.succeeded();
     }
 
-    /** Notes an answer that the replica spoiled, or that never came. */
+    /** Records an answer that the replica failed to give or gave incorrectly. */
     public void failed(long nowMillis) {
         health.failed(nowMillis);
     }
 
-    /** Notes that the replica can't be reached, or is silent. */
+    /** Records that the replica cannot be reached or has stopped responding. */
     public void unreachable(long nowMillis) {
         health.unreachable(nowMillis);
     }
 
-    /** Whether the replica may get a request now; after an ejection one at a time until one succeeds. */
+    /** Returns whether the replica may receive a request now; after an ejection, one at a time until one succeeds. */
     public boolean usable(long nowMillis) {
         return health.usable(nowMillis, running == 0);
     }
 
-    /** Attempts of all entries in progress, as far as they told. */
+    /** Returns the number of attempts of all entries in progress, according to their latest reports. */
     int runningOfAll() {
-        return running + others.running();
+        return running + peers.running();
     }
 
-    /** Attempts of this entry in progress. */
+    /** Returns the number of attempts of this entry in progress. */
     public int running() {
         return running;
     }
--- a/core/src/main/java/org/streamring/kernel/placement/ReportPace.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReportPace.java
@@ -4,41 +4,42 @@
 import java.util.function.Supplier;
 
 /**
- * When long prompts may be told to other entries before the next regular report. Confined to one thread.
+ * Limits the rate of early reports, which inform other entries of long prompts before the next regular report. Confined
+ * to one thread.
  *
- * <p>A report goes to each other entry. Told after every long prompt, up to 100 times a second, reports to 29 entries
- * took 0.5 MB/s of a link of 10 Mbit/s at the busiest of 30 entries, where its requests to servers took 0.15 MB/s.
+ * <p>A report is sent to every other entry. With a report after every long prompt, up to 100 per second, the busiest of
+ * 30 entries sent 0.5 MB/s of reports to 29 entries over a 10 Mbit/s link, and only 0.15 MB/s of requests to servers.
  */
 public final class ReportPace {
-    /** Reports of long prompts leave the rest to requests and answers. */
-    static final double PART_OF_LINK = 0.1;
+    /** Fraction of the link that reports may use; the rest is left for requests and answers. */
+    static final double MAX_LINK_FRACTION = 0.1;
 
-    /** Long prompts that come together share a report. */
-    static final long SOONEST_MILLIS = 10;
+    /** Long prompts within this time share one report. */
+    static final long MIN_DELAY_MILLIS = 10;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final Supplier<OptionalLong> bytesPerSecond;
-    private double nextMillis;
+    private double nextReportMillis;
 
     /**
-     * Creates one.
+     * Creates a rate limiter.
      *
-     * @param bytesPerSecond what the box's link carries; empty if that is not known
+     * @param bytesPerSecond supplies the rate of the link of this box; empty if it is unknown, which means no limit
      */
     public ReportPace(Supplier<OptionalLong> bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
     }
 
-    /** Notes a report, early or not, with its bytes to all that were told. */
+    /** Records a report, early or regular, with its total number of bytes to all recipients. */
     public void told(long bytes, long nowMillis) {
         OptionalLong rate = bytesPerSecond.get();
-        double takes = rate.isEmpty() ? 0 : bytes * MILLIS_PER_SECOND / (rate.getAsLong() * PART_OF_LINK);
-        nextMillis = Math.max(nextMillis, (double) nowMillis) + takes;
+        double linkMillis = rate.isEmpty() ? 0 : bytes * MILLIS_PER_SECOND / (rate.getAsLong() * MAX_LINK_FRACTION);
+        nextReportMillis = Math.max(nextReportMillis, (double) nowMillis) + linkMillis;
     }
 
-    /** How long an early report waits. */
+    /** Returns the time in milliseconds that an early report has to wait. */
     public long waitMillis(long nowMillis) {
-        return Math.max(SOONEST_MILLIS, (long) Math.ceil(nextMillis - nowMillis));
+        return Math.max(MIN_DELAY_MILLIS, (long) Math.ceil(nextReportMillis - nowMillis));
     }
 }
--- a/core/src/main/java/org/streamring/kernel/placement/RunningMedian.java
+++ b/core/src/main/java/org/streamring/kernel/placement/RunningMedian.java
@@ -1,8 +1,8 @@
 package org.streamring.kernel.placement;
 
 /**
- * Follows the median of a series of positive samples without keeping them: each sample moves it by a fixed part
- * towards itself. A rare extreme sample thus moves it no further than a common one. Confined to one thread.
+ * Estimates the median of a series of positive samples without storing them: each sample moves the estimate towards
+ * itself by at most a fixed ratio, so a rare outlier moves it no further than a common sample. Confined to one thread.
  */
 final class RunningMedian {
     private final double step;
@@ -10,10 +10,10 @@
     private int samples;
 
     /**
-     * Creates one.
+     * Creates an estimator.
      *
      * @param initial value before the first sample
-     * @param step part by which a sample moves it; the larger, the faster and the less steady
+     * @param step maximum relative change per sample; larger values adapt faster and fluctuate more
      */
     RunningMedian(double initial, double step) {
         this.value = initial;
--- a/core/src/main/java/org/streamring/kernel/placement/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Chooses the replica of a request that an entry sends to backend servers directly. */
+/** Chooses the replica for a request that an entry sends directly to backend servers. */
 @NullMarked
 package org.streamring.kernel.placement;
 
--- a/core/src/test/java/org/streamring/kernel/placement/ColdReplicasTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/ColdReplicasTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 public class ColdReplicasTest {
-    /** Bears 10 requests a second, and may fall over beyond 20. */
+    /** Sustains 10 requests per second, and may crash above 20. */
     private static final ColdLimit LIMIT = new ColdLimit(10, 20);
 
     private static final int ENTRIES = 30;
@@ -30,21 +30,21 @@
     }
 
     @Test
-    public void aWarmReplicaTakesAnyNumber() {
+    public void aWarmReplicaAcceptsAnyNumberOfRequests() {
         ColdReplicas cold = new ColdReplicas("entry-1", () -> all);
         IntStream.range(0, 1_000).forEach(each -> cold.placed("i-1", 0));
         assertThat(cold.takes("i-1", LIMIT, 0)).isTrue();
     }
 
     @Test
-    public void whereTheSheetNamesNoRateAnyNumberIsTaken() {
+    public void aServiceWithoutColdRateIsNotLimited() {
         ColdReplicas cold = new ColdReplicas("entry-1", Set::of);
         cold.heard("i-1", 3_000, 0);
         assertThat(cold.takes("i-1", ColdLimit.NONE, 0)).isTrue();
     }
 
     @Test
-    public void theLatestEndCountsAndAWarmWordDoesNotEndIt() {
+    public void theLatestEndOfTheColdPeriodAppliesAndAReportOfZeroDoesNotEndIt() {
         ColdReplicas cold = new ColdReplicas("entry-1", () -> all);
         cold.heard("i-1", 3_000, 1_000);
         cold.heard("i-1", 500, 2_000);
@@ -54,31 +54,31 @@
     }
 
     @Test
-    public void anEntryThatKnowsNoOtherYetSendsAColdReplicaNothing() {
+    public void anEntryWithoutViewOfTheFleetSendsNothingToAColdReplica() {
         ColdReplicas cold = new ColdReplicas("entry-1", Set::of);
         cold.heard("i-1", 3_000, 0);
         assertThat(cold.takes("i-1", LIMIT, 100)).isFalse();
     }
 
     @Test
-    public void aRateTooSmallForItsOwnersIsNotUsed() {
-        assertThat(ColdReplicas.part(new ColdLimit(0.5, 5.75))).isZero();
-        assertThat(ColdReplicas.part(new ColdLimit(1, 6.5))).isEqualTo(1);
-        assertThat(ColdReplicas.part(LIMIT)).isEqualTo(3);
-        assertThat(ColdReplicas.part(new ColdLimit(100, 155))).isEqualTo(25);
+    public void aRateThatIsTooSmallForItsOwnersAllowsNoRequests() {
+        assertThat(ColdReplicas.requestsPerOwner(new ColdLimit(0.5, 5.75))).isZero();
+        assertThat(ColdReplicas.requestsPerOwner(new ColdLimit(1, 6.5))).isEqualTo(1);
+        assertThat(ColdReplicas.requestsPerOwner(LIMIT)).isEqualTo(3);
+        assertThat(ColdReplicas.requestsPerOwner(new ColdLimit(100, 155))).isEqualTo(25);
     }
 
-    /** Thirty entries with the whole demand at once; each placement leaves up to 500 ms later. */
+    /** 30 entries place as many requests as allowed; each request is sent up to 500 ms after its placement. */
     @Test
-    public void aDozenReplicasThatComeBackColdTogetherBearWhatTheyGet() {
+    public void twelveReplicasThatRestartColdTogetherStayWithinTheirLimit() {
         List<Long> most = mostInAnySecond(number -> all, false);
         assertThat(most).allMatch(each -> each <= LIMIT.mostInSecond() / 2);
-        assertThat(most).as("they are of use meanwhile").allMatch(each -> each >= 3);
+        assertThat(most).as("cold replicas still receive some requests").allMatch(each -> each >= 3);
     }
 
-    /** Half of the entries were cut off before the other half was replaced by ones with other names. */
+    /** Half of the entries lost contact before the other half was replaced by entries with new names. */
     @Test
-    public void viewsThatShareNoOwnerStayWithinWhatIsBorne() {
+    public void entriesWithDisjointOwnersStayWithinTheLimit() {
         Set<String> others = new TreeSet<>();
         IntStream.range(0, ENTRIES).forEach(number -> others.add("new-" + number));
         Set<String> both = new HashSet<>(all);
@@ -89,21 +89,21 @@
                 .allMatch(each -> each <= LIMIT.mostInSecond());
     }
 
-    private static List<Long> mostInAnySecond(IntFunction<Set<String>> view, boolean twoFleets) {
+    private static List<Long> mostInAnySecond(IntFunction<Set<String>> view, boolean addNewEntries) {
         List<Long> most = new ArrayList<>();
         for (int replica = 0; replica < REPLICAS; replica++) {
-            most.add(mostInAnySecond("i-" + replica, view, twoFleets, new Random(replica)));
+            most.add(mostInAnySecond("i-" + replica, view, addNewEntries, new Random(replica)));
         }
         return most;
     }
 
     private static long mostInAnySecond(
-            String replica, IntFunction<Set<String>> view, boolean twoFleets, Random random) {
+            String replica, IntFunction<Set<String>> view, boolean addNewEntries, Random random) {
         List<ColdReplicas> fleet = new ArrayList<>();
         for (int number = 0; number < ENTRIES; number++) {
-            Set<String> known = view.apply(number);
-            fleet.add(new ColdReplicas("entry-" + number, () -> known));
-            if (twoFleets) {
+            Set<String> entriesInView = view.apply(number);
+            fleet.add(new ColdReplicas("entry-" + number, () -> entriesInView));
+            if (addNewEntries) {
                 Set<String> others = view.apply(number + 1);
                 fleet.add(new ColdReplicas("new-" + number, () -> others));
             }
--- a/core/src/test/java/org/streamring/kernel/placement/EngineSpeedTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/EngineSpeedTest.java
@@ -8,19 +8,19 @@
 
 public class EngineSpeedTest {
     @Test
-    public void firstEventsTellHowFastPromptsAreRead() {
+    public void speedsAreEstimatedFromFirstEvents() {
         EngineSpeed speed = new EngineSpeed();
-        IntStream.range(0, 40).forEach(i -> speed.learn(100, 60));
-        IntStream.range(0, 40).forEach(i -> speed.learn(9_000, 60 + 9_000 / 20.0));
+        IntStream.range(0, 40).forEach(i -> speed.addFirstEvent(100, 60));
+        IntStream.range(0, 40).forEach(i -> speed.addFirstEvent(9_000, 60 + 9_000 / 20.0));
         assertThat(speed.firstEventMillis()).isCloseTo(60, within(5.0));
         assertThat(speed.tokensPerMilli()).isCloseTo(20, within(2.0));
     }
 
     @Test
-    public void aPromptThatWaitedForOthersChangesLittle() {
+    public void aSingleDelayedPromptChangesTheEstimateLittle() {
         EngineSpeed speed = new EngineSpeed();
         double before = speed.tokensPerMilli();
-        speed.learn(9_000, 20_000);
+        speed.addFirstEvent(9_000, 20_000);
         assertThat(speed.tokensPerMilli()).isCloseTo(before, within(before * 0.1));
     }
 }
--- a/core/src/test/java/org/streamring/kernel/placement/PauseCalibrationTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PauseCalibrationTest.java
@@ -9,14 +9,14 @@
 
 public class PauseCalibrationTest {
     @Test
-    public void pausesThatNeverComeCountForNothingInTheEnd() {
+    public void theFactorApproachesZeroIfNoPausesOccur() {
         PauseCalibration pauses = new PauseCalibration();
         IntStream.range(0, 100).forEach(i -> pauses.ended(0.5, false));
         assertThat(pauses.factor()).isLessThan(0.05);
     }
 
     @Test
-    public void theFactorFollowsHowOftenPausesCome() {
+    public void theFactorConvergesToTheObservedPauseRate() {
         PauseCalibration pauses = new PauseCalibration();
         Random random = new Random(1);
         double sum = 0;
--- a/core/src/test/java/org/streamring/kernel/placement/OthersLoadTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PeerLoadTest.java
@@ -8,13 +8,13 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-public class OthersLoadTest {
+public class PeerLoadTest {
     private static final double TOKENS_PER_MILLI = 50;
 
     @Test
-    public void theSumsAreThoseOfWhatEachEntryToldLast() {
+    public void totalsAreTheSumsOfTheLatestReportOfEachEntry() {
         Random random = new Random(1);
-        OthersLoad load = new OthersLoad();
+        PeerLoad load = new PeerLoad();
         Map<String, ReplicaShare> last = new HashMap<>();
         for (int step = 0; step < 2_000; step++) {
             String entry = "entry-" + random.nextInt(29);
@@ -24,7 +24,7 @@
             } else {
                 ReplicaShare share = new ReplicaShare(
                         random.nextInt(5), random.nextInt(2) * 1_000L, random.nextDouble(), random.nextDouble());
-                load.told(entry, share, 0);
+                load.setShare(entry, share, 0);
                 last.put(entry, share);
             }
             assertThat(load.running())
@@ -51,9 +51,9 @@
     }
 
     @Test
-    public void whatWasToldIsReadWhileNothingNewIsTold() {
-        OthersLoad load = new OthersLoad();
-        load.told("entry-1", new ReplicaShare(1, 1_000, 0, 0), 0);
+    public void unreadTokensDecreaseBetweenReports() {
+        PeerLoad load = new PeerLoad();
+        load.setShare("entry-1", new ReplicaShare(1, 1_000, 0, 0), 0);
         assertThat(load.unreadTokens(5, TOKENS_PER_MILLI)).isEqualTo(750);
         assertThat(load.unreadTokens(100, TOKENS_PER_MILLI)).isZero();
     }
--- a/core/src/test/java/org/streamring/kernel/placement/PlacementTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PlacementTableTest.java
@@ -27,14 +27,14 @@
     }
 
     @Test
-    public void promptsThatBeginAlikeMeetTheSameReplicaFromEveryEntry() {
+    public void promptsWithACommonPrefixAreSentToTheSameReplicaByAllEntries() {
         PlacementTable other = new PlacementTable(new Random(2));
         PlacementQuery query = engineQuery(shared("part-7", 800, 200));
         assertThat(choose(table, query)).isEqualTo(choose(other, query));
     }
 
     @Test
-    public void aReplicaWithMuchWorkAheadIsPassedOver() {
+    public void aReplicaWithManyUnreadTokensIsNotChosen() {
         PlacementQuery query = engineQuery(shared("part-7", 800, 200));
         String first = choose(table, query);
         start(table, engineQuery(shared("other", 50_000, 50_000)), first);
@@ -42,24 +42,25 @@
     }
 
     @Test
-    public void aPromptThatIsKeptMeetsTheReplicaThatKeepsIt() {
+    public void aPromptIsSentToTheReplicaThatHasItCached() {
         start(table, engineQuery(shared("review-1", 12_000, 100, 30)), "i-3").ended();
         assertThat(choose(table, engineQuery(shared("review-1", 12_000, 900, 30))))
                 .isEqualTo("i-3");
     }
 
     /**
-     * A server started again under its identifier while its entry stood. Prompts still went where their parts had been
-     * kept, and had to be read anew there; it also stayed left out for the failures of its earlier process.
+     * A server was restarted under the same identifier while its registration remained. Prompts were still sent there
+     * because of the cache of the earlier process, and had to be processed from the start. The server also remained
+     * ejected because of failures of the earlier process.
      */
     @Test
-    public void nothingIsKnownOfAnotherProcessUnderAnIdentifier() {
+    public void aNewProcessUnderTheSameIdentifierStartsWithNewState() {
         table.listed(replicas.get(3));
         Prompt prompt = shared("review-1", 12_000, 100, 30);
         PlacedPrompt running = start(table, engineQuery(prompt), "i-3");
         ReplicaState earlier = table.state("i-3");
         assertThat(earlier.tokensToRead(prompt)).isLessThan(prompt.tokens());
-        table.listed(startedAgain(replicas.get(3)));
+        table.listed(restarted(replicas.get(3)));
 
         assertThat(table.state("i-3").running()).isZero();
         assertThat(table.state("i-3").tokensToRead(prompt)).isEqualTo(prompt.tokens());
@@ -73,7 +74,7 @@
     }
 
     @Test
-    public void anEntryThatIsListedAgainOfTheSameProcessChangesNothing() {
+    public void listingTheSameProcessAgainKeepsItsState() {
         table.listed(replicas.get(3));
         start(table, engineQuery(shared("review-1", 12_000, 100, 30)), "i-3");
         table.keepOnly(Set.of());
@@ -81,7 +82,7 @@
         assertThat(table.state("i-3").running()).isEqualTo(1);
     }
 
-    private static BackendInstance startedAgain(BackendInstance before) {
+    private static BackendInstance restarted(BackendInstance before) {
         return new BackendInstance(
                 before.id(),
                 before.service(),
@@ -95,7 +96,7 @@
     }
 
     @Test
-    public void whatAnotherEntryToldIsKeptThereToo() {
+    public void promptsReportedByAnotherEntryCountAsCached() {
         PlacementTable other = new PlacementTable(new Random(2));
         start(other, engineQuery(shared("review-1", 12_000, 100, 30)), "i-3").ended();
         table.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
@@ -104,14 +105,14 @@
     }
 
     @Test
-    public void aLongPromptIsReadWhereNoStreamWaitsForIt() {
+    public void aLongPromptIsSentToAReplicaWithoutStreams() {
         IntStream.of(0, 1, 2, 4).forEach(number -> start(table, engineQuery(shared("q", 100, 100)), "i-" + number)
                 .answered(10_050));
         assertThat(choose(table, engineQuery(shared("review", 12_000, 3_000)))).isEqualTo("i-3");
     }
 
     @Test
-    public void aLongPromptIsReadWhereNoStreamOfAnotherEntryWaitsForIt() {
+    public void aLongPromptIsSentToAReplicaWithoutStreamsOfOtherEntries() {
         PlacementTable other = new PlacementTable(new Random(2));
         IntStream.of(0, 1, 2, 4).forEach(number -> start(other, engineQuery(shared("q", 100, 100)), "i-" + number)
                 .answered(10_050));
@@ -125,7 +126,7 @@
     }
 
     @Test
-    public void whatAnotherEntryToldIsTakenForReadAfterAWhile() {
+    public void unreadTokensReportedByAnotherEntryDecreaseOverTime() {
         PlacementTable other = new PlacementTable(new Random(2));
         start(other, engineQuery(shared("r", 20_000, 20_000)), "i-1");
         table.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 9_000);
@@ -141,24 +142,24 @@
     }
 
     @Test
-    public void othersAreToldOfALongPromptAtOnce() {
-        List<String> told = new ArrayList<>();
-        table.onLongPrompt(() -> told.add("now"));
+    public void aLongPromptTriggersAnEarlyReport() {
+        List<String> reports = new ArrayList<>();
+        table.onLongPrompt(() -> reports.add("now"));
         start(table, engineQuery(shared("q", 100, 100)), "i-1");
-        assertThat(told).isEmpty();
+        assertThat(reports).isEmpty();
         start(table, engineQuery(shared("r", 9_000, 9_000)), "i-1");
-        assertThat(told).hasSize(1);
+        assertThat(reports).hasSize(1);
     }
 
     @Test
-    public void aShortPromptAvoidsReplicasThatGetLongOnes() {
+    public void aShortPromptAvoidsReplicasWithRecentLongPrompts() {
         IntStream.of(0, 1, 3, 4).forEach(number -> start(table, engineQuery(shared("r", 12_000, 9_000)), "i-" + number)
                 .ended());
         assertThat(choose(table, engineQuery(shared("q", 100, 100)))).isEqualTo("i-2");
     }
 
     @Test
-    public void aReplicaWhoseEventsComeSlowlyIsPassedOver() {
+    public void aReplicaWithLongEventGapsIsNotChosen() {
         for (BackendInstance replica : replicas) {
             PlacedPrompt stream = start(table, engineQuery(shared("q", 100, 100)), replica.id());
             int gap = replica.id().equals("i-2") ? 20 : 100;
@@ -169,21 +170,21 @@
     }
 
     @Test
-    public void aPlainRequestGoesToTheLeastLoaded() {
+    public void aPlainRequestIsSentToTheLeastLoadedReplica() {
         replicas.stream().skip(1).forEach(replica -> start(table, plainQuery(), replica.id()));
         assertThat(table.choose(plainQuery(), PLAIN, replicas, 1, 0).orElseThrow())
                 .isEqualTo(replicas.get(0));
     }
 
     @Test
-    public void triedReplicasAreLeftOut() {
+    public void replicasAlreadyTriedAreNotChosen() {
         PlacementQuery query =
                 new PlacementQuery(Prompt.NONE, 0, 1_000, 300, "hall", Set.of("i-0", "i-1", "i-2", "i-3"));
         assertThat(choose(table, query)).isEqualTo("i-4");
     }
 
     @Test
-    public void anUnreachableReplicaIsLeftOutForAWhileThenTriedOnce() {
+    public void anUnreachableReplicaIsEjectedAndThenProbedWithOneRequest() {
         ReplicaState state = table.state("i-0");
         state.unreachable(1_000);
         assertThat(state.usable(1_500)).isFalse();
@@ -196,7 +197,7 @@
     }
 
     @Test
-    public void failuresInARowEject() {
+    public void failuresInSuccessionEjectAReplica() {
         ReplicaState state = table.state("i-0");
         state.failed(0);
         state.failed(0);
@@ -206,33 +207,36 @@
     }
 
     @Test
-    public void aReplicaNeverGetsMoreThanItsSlots() {
+    public void aReplicaNeverReceivesMoreRequestsThanItsSlots() {
         start(table, plainQuery(), "i-0");
         BackendInstance small = new BackendInstance("i-0", "assist", "10.0.0.1", 1, "hall", 1, true, 0, 0);
         assertThat(table.choose(plainQuery(), PLAIN, List.of(small), 1, 0)).isEmpty();
     }
 
     /**
-     * One of 33 entries gets all of a busy account's callers. With twice an even share of each replica it refused 246
-     * requests in six seconds for want of a place, beside replicas that had most of their slots free.
+     * One of 33 entries receives all requests of a busy account. When it was limited to twice an even share of the
+     * slots of each replica, it refused 246 requests within 6 s while most slots were free.
      */
     @Test
-    public void anEntryThatGetsMuchOfTheTrafficUsesRoomThatOthersLeave() {
-        assertThat(placedBeside(0)).isEqualTo(5 * 48);
+    public void anEntryWithHighLoadUsesSlotsThatOtherEntriesLeaveFree() {
+        assertThat(placedWithPeerLoad(0)).isEqualTo(5 * 48);
     }
 
     @Test
-    public void roomThatOthersUseIsNotUsedTwice() {
-        assertThat(placedBeside(40)).isEqualTo(5 * 8);
-        assertThat(placedBeside(60)).as("an even share is there in any case").isEqualTo(5 * 4);
+    public void slotsUsedByOtherEntriesAreNotUsedAgain() {
+        assertThat(placedWithPeerLoad(40)).isEqualTo(5 * 8);
+        assertThat(placedWithPeerLoad(60))
+                .as("an even share is always available")
+                .isEqualTo(5 * 4);
     }
 
     /**
-     * Short questions that begin alike all went to the replica that keeps their beginning, from 33 entries: 80 of 2,000
-     * waited for one of its 32 slots for a second and more, beside replicas that were a third full.
+     * Short prompts with a common prefix from 33 entries were all sent to the replica that had this prefix in its
+     * cache. Of 2,000 prompts, 80 waited for one of its 32 slots for 1 s or more while other replicas were one third
+     * full.
      */
     @Test
-    public void aReplicaWhoseSlotsAreTakenByAllEntriesTogetherIsPassedOver() {
+    public void aReplicaWhoseSlotsAreOccupiedByAllEntriesTogetherIsNotChosen() {
         PlacementQuery query = engineQuery(shared("q", 100, 100));
         String preferred = choose(table, query);
         for (int entry = 0; entry < 33; entry++) {
@@ -251,13 +255,15 @@
                 .isGreaterThan(start(table, query, "i-2").forecast().firstEventMillis() + 500);
     }
 
-    /** Requests that find a place at five replicas of 64 slots, where another entry runs so many at each. */
-    private int placedBeside(int runningElsewhere) {
+    /**
+     * Returns how many requests can be placed at five replicas of 64 slots, given the load of another entry at each.
+     */
+    private int placedWithPeerLoad(int runningOfPeer) {
         PlacementTable own = new PlacementTable(new Random(1));
         PlacementTable other = new PlacementTable(new Random(2));
         PlacementQuery query = engineQuery(shared("q", 100, 100));
         replicas.forEach(
-                replica -> IntStream.range(0, runningElsewhere).forEach(each -> start(other, query, replica.id())));
+                replica -> IntStream.range(0, runningOfPeer).forEach(each -> start(other, query, replica.id())));
         own.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
         int placed = 0;
         Optional<BackendInstance> chosen = own.choose(query, ENGINE, replicas, 33, 10_000);
--- a/core/src/test/java/org/streamring/kernel/placement/PlacementTimes.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PlacementTimes.java
@@ -8,8 +8,8 @@
 import org.streamring.model.route.ServiceTraits;
 
 /**
- * Times the placement of a request in a fleet of 30 entries and 38 replicas; to be run by hand, with the options of an
- * entry: {@code java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx40m}.
+ * Benchmark of the placement of a request in a fleet of 30 entries and 38 replicas. Run it manually with the JVM
+ * options of an entry: {@code java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx40m}.
  */
 public final class PlacementTimes {
     private static final ServiceTraits ENGINE = new ServiceTraits("assist", 500, 8, 461_116, 0);
@@ -21,7 +21,7 @@
 
     private PlacementTimes() {}
 
-    /** Prints microseconds a request for each round. */
+    /** Prints the microseconds per request of each round. */
     public static void main(String[] args) {
         List<BackendInstance> replicas = IntStream.range(0, REPLICAS)
                 .mapToObj(number -> new BackendInstance(
@@ -45,7 +45,7 @@
                         table.choose(query, ENGINE, replicas, ENTRIES, 10).orElseThrow();
                 table.started(query, ENGINE, chosen, 10).ended();
             }
-            System.out.println((System.nanoTime() - began) / 1_000 / REQUESTS + " us a request");
+            System.out.println((System.nanoTime() - began) / 1_000 / REQUESTS + " us per request");
         }
     }
 
--- a/core/src/test/java/org/streamring/kernel/placement/ReportPaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/ReportPaceTest.java
@@ -9,8 +9,8 @@
     private static final long LINK_BYTES_PER_SECOND = 1_250_000;
     private static final long REPORT_BYTES = 29 * 2_000L;
 
-    /** Bytes told in ten seconds in which a long prompt begins each ten milliseconds. */
-    private static long told(ReportPace pace) {
+    /** Returns the bytes of reports sent in 10 s if a long prompt starts every 10 ms. */
+    private static long reportedBytes(ReportPace pace) {
         long bytes = 0;
         long due = 0;
         for (long now = 0; now < 10_000; now += 10) {
@@ -24,22 +24,22 @@
     }
 
     @Test
-    public void longPromptsInARowLeaveTheLinkToRequests() {
-        long told = told(new ReportPace(() -> OptionalLong.of(LINK_BYTES_PER_SECOND)));
-        assertThat(told)
-                .isLessThanOrEqualTo((long) (10 * LINK_BYTES_PER_SECOND * ReportPace.PART_OF_LINK) + REPORT_BYTES);
+    public void reportsOfManyLongPromptsUseALimitedFractionOfTheLink() {
+        long reportedBytes = reportedBytes(new ReportPace(() -> OptionalLong.of(LINK_BYTES_PER_SECOND)));
+        assertThat(reportedBytes)
+                .isLessThanOrEqualTo((long) (10 * LINK_BYTES_PER_SECOND * ReportPace.MAX_LINK_FRACTION) + REPORT_BYTES);
     }
 
     @Test
-    public void aFirstLongPromptIsToldAtOnce() {
+    public void theFirstLongPromptIsReportedWithoutExtraDelay() {
         ReportPace pace = new ReportPace(() -> OptionalLong.of(LINK_BYTES_PER_SECOND));
-        assertThat(pace.waitMillis(5_000)).isEqualTo(ReportPace.SOONEST_MILLIS);
+        assertThat(pace.waitMillis(5_000)).isEqualTo(ReportPace.MIN_DELAY_MILLIS);
     }
 
     @Test
-    public void onALinkOfUnknownRateEachIsToldAtOnce() {
+    public void reportsAreNotLimitedIfTheLinkRateIsUnknown() {
         ReportPace pace = new ReportPace(OptionalLong::empty);
         pace.told(100 * REPORT_BYTES, 0);
-        assertThat(pace.waitMillis(0)).isEqualTo(ReportPace.SOONEST_MILLIS);
+        assertThat(pace.waitMillis(0)).isEqualTo(ReportPace.MIN_DELAY_MILLIS);
     }
 }
