--- a/core/src/main/java/org/streamring/kernel/admission/FixedWindow.java
+++ b/core/src/main/java/org/streamring/kernel/admission/FixedWindow.java
@@ -3,24 +3,29 @@
 import java.time.Duration;
 
 /**
- * Every request waits for the same part of its target, unless no replica will take it by then. The load pattern that
- * it answers: places that are all taken for a moment, by requests that come in clumps.
+ * Wait policy that lets every request wait for the same fraction of its target time, unless no replica will accept it
+ * by then. It is designed for short bursts of requests, during which all slots are occupied for a moment.
  */
 public final class FixedWindow implements WaitPolicy {
-    /** Of the target; what is placed by then can still be in time, and callers who are refused can try elsewhere. */
-    static final int WAIT_PARTS = 5;
+    /**
+     * A request waits for at most one fifth of its target time: if it is placed by then, its answer can still be in
+     * time, and if it is refused, its caller has time to try another entry.
+     */
+    static final int TARGET_DIVISOR = 5;
 
-    /** Places are taken for less than this by plain calls; another entry may have one at once. */
+    /** Plain calls occupy a slot for less than this; another entry may have a free slot immediately. */
     static final Duration RETRY_AFTER = Duration.ofMillis(250);
 
     @Override
     public WaitDecision decide(WaitQuery query) {
-        long left = query.targetMillis() / WAIT_PARTS - query.waitedMillis();
-        long closed = query.closedMillis();
-        if (closed > 0 && closed < WaitQuery.NEVER) {
-            return closed > left ? WaitDecision.refuse(Duration.ofMillis(closed)) : WaitDecision.WAIT;
+        long remainingMillis = query.targetMillis() / TARGET_DIVISOR - query.waitedMillis();
+        long closedMillis = query.closedMillis();
+        if (closedMillis > 0 && closedMillis < WaitQuery.NEVER) {
+            return closedMillis > remainingMillis
+                    ? WaitDecision.refuse(Duration.ofMillis(closedMillis))
+                    : WaitDecision.WAIT;
         }
-        boolean over = closed == WaitQuery.NEVER || left <= 0;
-        return over ? WaitDecision.refuse(RETRY_AFTER) : WaitDecision.WAIT;
+        boolean refused = closedMillis == WaitQuery.NEVER || remainingMillis <= 0;
+        return refused ? WaitDecision.refuse(RETRY_AFTER) : WaitDecision.WAIT;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/admission/LinkPace.java
+++ b/core/src/main/java/org/streamring/kernel/admission/LinkPace.java
@@ -6,22 +6,22 @@
 import java.util.function.Supplier;
 
 /**
- * How long what this box writes waits for its own link, reckoned by the link's rate, and whether a request may be
- * added. Confined to one thread.
+ * Estimates from the link rate how long written bytes wait in the queue of the link of this box, and limits the
+ * requests that are added to it. Confined to one thread.
  *
- * <p>The load pattern that it answers: the balancer hands each caller to an entry by a hash, so a busy account's
- * callers can ask more of one entry than its link carries. What is written then waits in the link's queue for seconds,
- * out of reach: it arrives after its caller has left, and so does the news of that.
+ * <p>It is designed for uneven load: the load balancer assigns callers to entries by a hash, so the callers of a busy
+ * account can exceed the link capacity of one entry. Written bytes then wait in the queue of the link for seconds and
+ * cannot be withdrawn: requests arrive after their callers have disconnected, and so do their cancellations.
  */
 public final class LinkPace {
-    /** Half of the time in which a caller's leaving must reach a server. */
+    /** Half of the time within which a disconnect of a caller must reach a server. */
     public static final long MOST_QUEUED_MILLIS = 250;
 
-    /** Bytes of one packet: holding them back would not shorten the queue. */
-    static final long SMALL_BYTES = 1_460;
+    /** Size of one packet; delaying requests up to this size would not shorten the queue. */
+    static final long PACKET_BYTES = 1_460;
 
-    /** The rest is for headers of packets, the store, and frames to other entries that are not reports of load. */
-    private static final double PART_OF_LINK = 0.9;
+    /** The rest is left for packet headers, store traffic, and frames to other entries except load reports. */
+    private static final double LINK_FRACTION = 0.9;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -29,54 +29,56 @@
     private final Map<Traffic, Long> bytes = new EnumMap<>(Traffic.class);
     private double emptyAtMillis;
 
-    /** What the link carries. */
+    /** Kinds of traffic on the link. */
     public enum Traffic {
-        /** Requests to servers. */
+        /** Requests to backend servers. */
         REQUESTS,
-        /** Answers of servers that are passed on to callers. */
+        /** Answers of backend servers that are forwarded to callers. */
         ANSWERS,
-        /** Reports of load to other entries. */
+        /** Load reports to other entries. */
         REPORTS
     }
 
     /**
-     * Starts with an empty queue.
+     * Creates an instance with an empty queue.
      *
-     * @param bytesPerSecond what the link carries; empty if that is not known, in which case nothing is held back
+     * @param bytesPerSecond supplies the link rate; empty if it is unknown, in which case no request is delayed
      */
     public LinkPace(Supplier<OptionalLong> bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
     }
 
-    /** Notes bytes that are written. */
+    /** Records bytes that are written to the link. */
     public void written(Traffic traffic, long count, long nowMillis) {
         bytes.merge(traffic, count, Long::sum);
-        emptyAtMillis = Math.max(emptyAtMillis, (double) nowMillis) + millisFor(count);
+        emptyAtMillis = Math.max(emptyAtMillis, (double) nowMillis) + transmissionMillis(count);
     }
 
-    /** Takes back bytes that were noted and are not written after all. */
+    /** Subtracts bytes that were recorded with {@link #written} but are not written after all. */
     public void notWritten(Traffic traffic, long count) {
         bytes.merge(traffic, -count, Long::sum);
-        emptyAtMillis -= millisFor(count);
+        emptyAtMillis -= transmissionMillis(count);
     }
 
-    /** Bytes written so far. */
+    /** Returns the total number of bytes written so far. */
     public long bytes(Traffic traffic) {
         return bytes.getOrDefault(traffic, 0L);
     }
 
-    /** How long bytes that are written now wait for the link. */
+    /** Returns the time in milliseconds that bytes written now wait in the queue of the link. */
     public long queuedMillis(long nowMillis) {
         return (long) Math.max(0, emptyAtMillis - nowMillis);
     }
 
-    /** Time until a request of so many bytes may be written; 0 if it may now. */
+    /**
+     * Returns the time in milliseconds until a request of the given size may be written; 0 if it may be written now.
+     */
     public long closedMillis(long count, long nowMillis) {
-        return count <= SMALL_BYTES ? 0 : Math.max(0, queuedMillis(nowMillis) - MOST_QUEUED_MILLIS);
+        return count <= PACKET_BYTES ? 0 : Math.max(0, queuedMillis(nowMillis) - MOST_QUEUED_MILLIS);
     }
 
-    private double millisFor(long count) {
+    private double transmissionMillis(long count) {
         OptionalLong rate = bytesPerSecond.get();
-        return rate.isEmpty() ? 0 : count * MILLIS_PER_SECOND / (rate.getAsLong() * PART_OF_LINK);
+        return rate.isEmpty() ? 0 : count * MILLIS_PER_SECOND / (rate.getAsLong() * LINK_FRACTION);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/admission/LoopLateness.java
+++ b/core/src/main/java/org/streamring/kernel/admission/LoopLateness.java
@@ -3,14 +3,17 @@
 import java.util.Optional;
 
 /**
- * Whether the event loop falls behind, judged by how late its timers run: what arrives may lie unread for about as
- * long. Confined to one thread.
+ * Detects delays of the event loop from the delays of its timers: received data may stay unread for about the same
+ * time. Confined to one thread.
  */
 public final class LoopLateness {
-    /** A quarter of the half second in which a caller's leaving must take effect. */
+    /**
+     * Delay above which the loop is late: a quarter of the 0.5 s within which a disconnect of a caller must take
+     * effect.
+     */
     static final long LATE_MILLIS = 125;
 
-    /** Well below the other bound, so that a delay between them is no change. */
+    /** Delay up to which the loop is in time again; well below {@link #LATE_MILLIS} to avoid frequent changes. */
     static final long IN_TIME_MILLIS = 30;
 
     private boolean late;
@@ -21,13 +24,13 @@
      * A change between late and in time.
      *
      * @param late whether the loop is late now
-     * @param delayMillis the delay that shows it
-     * @param longestMillis the longest delay since the loop became late
-     * @param lateForMillis time since then
+     * @param delayMillis timer delay that caused the change
+     * @param longestMillis longest timer delay since the loop became late
+     * @param lateForMillis time since the loop became late
      */
     public record Change(boolean late, long delayMillis, long longestMillis, long lateForMillis) {}
 
-    /** Notes how late a timer ran; returns a change if this is one. */
+    /** Records the delay of a timer, and returns the change that it causes, if any. */
     public Optional<Change> ran(long delayMillis, long nowMillis) {
         longestMillis = Math.max(longestMillis, delayMillis);
         if (!late && delayMillis > LATE_MILLIS) {
--- a/core/src/main/java/org/streamring/kernel/admission/OwnLateness.java
+++ b/core/src/main/java/org/streamring/kernel/admission/OwnLateness.java
@@ -4,51 +4,56 @@
 import java.util.Map;
 
 /**
- * Whether this box itself is late, by its link or its processor: then new connections to most backend servers take
- * long at the same time, where otherwise they take a few milliseconds, or only those to some servers fail.
+ * Detects that this box itself is delayed because its link or its processor is overloaded. In this case new connections
+ * to most backend servers are slow at the same time. Otherwise they take a few milliseconds, or only connections to
+ * some servers fail.
  *
- * <p>The load pattern that it answers: the balancer hands each caller to an entry by a hash, so a busy account's
- * callers can bring one entry many times what the others get. Confined to one thread.
+ * <p>It is designed for uneven load: the load balancer assigns callers to entries by a hash, so the callers of a busy
+ * account can send one entry many times the load of the others. Confined to one thread.
  */
 public final class OwnLateness {
-    /** Connections of the last moments tell; a link that is full for 100 ms drains in 100 ms. */
+    /** Only recent connections count, because a link with a queue of 100 ms drains within 100 ms. */
     static final long WINDOW_MILLIS = 400;
 
-    /** One slow server, or the only two of a service, say nothing of this box. */
-    static final int LEAST_SERVERS = 3;
+    /**
+     * Slow connections to fewer servers may be caused by the servers: one slow server, or the only two of a service.
+     */
+    static final int MIN_SERVERS = 3;
 
-    /** A connection takes 2 to 5 ms where nothing waits, and a first event has a second or so. */
+    /** Establishing a connection takes 2 to 5 ms without queueing; the target for a first event is about 1 s. */
     static final long LATE_MILLIS = 100;
 
-    private final Map<String, Connecting> newest = new HashMap<>();
+    private final Map<String, ConnectTime> latestByServer = new HashMap<>();
 
-    private record Connecting(long tookMillis, long endedMillis) {}
+    private record ConnectTime(long durationMillis, long endedMillis) {}
 
     /**
-     * Notes how long a new connection to a server took, or how long it was waited for in vain.
+     * Records the time that connecting to a server took until it succeeded or timed out.
      *
      * @param server identifier of the server
      */
-    public void connecting(String server, long tookMillis, long nowMillis) {
-        forgetOld(nowMillis);
-        newest.put(server, new Connecting(tookMillis, nowMillis));
+    public void connecting(String server, long durationMillis, long nowMillis) {
+        removeExpired(nowMillis);
+        latestByServer.put(server, new ConnectTime(durationMillis, nowMillis));
     }
 
-    /** Whether this box is late now: half or more of the servers that were connected to lately took long. */
+    /**
+     * Returns whether this box is delayed: connecting was slow for at least half of the servers connected to recently.
+     */
     public boolean late(long nowMillis) {
-        forgetOld(nowMillis);
-        long slow = newest.values().stream()
-                .filter(each -> each.tookMillis() > LATE_MILLIS)
+        removeExpired(nowMillis);
+        long slow = latestByServer.values().stream()
+                .filter(each -> each.durationMillis() > LATE_MILLIS)
                 .count();
-        return newest.size() >= LEAST_SERVERS && 2 * slow >= newest.size();
+        return latestByServer.size() >= MIN_SERVERS && 2 * slow >= latestByServer.size();
     }
 
-    private void forgetOld(long nowMillis) {
-        newest.values().removeIf(each -> nowMillis - each.endedMillis() > WINDOW_MILLIS);
+    private void removeExpired(long nowMillis) {
+        latestByServer.values().removeIf(each -> nowMillis - each.endedMillis() > WINDOW_MILLIS);
     }
 
-    /** Servers whose connections are remembered. */
-    int remembered() {
-        return newest.size();
+    /** Returns the number of servers with recorded connections. */
+    int recordedServers() {
+        return latestByServer.size();
     }
 }
--- a/core/src/main/java/org/streamring/kernel/admission/PlacePace.java
+++ b/core/src/main/java/org/streamring/kernel/admission/PlacePace.java
@@ -1,22 +1,22 @@
 package org.streamring.kernel.admission;
 
 /**
- * How many places became free lately, in a millisecond on average. Confined to one thread.
+ * Measures the average rate at which slots were released recently, with exponential decay. Confined to one thread.
  */
 public final class PlacePace {
-    /** Plain calls take some 90 ms and streams some seconds; a second shows both. */
+    /** Covers both plain calls, which take about 90 ms, and streams, which take some seconds. */
     private static final double WINDOW_MILLIS = 1_000;
 
     private double freed;
     private long updatedMillis;
 
-    /** Notes that a place became free. */
+    /** Records that a slot was released. */
     public void freed(long nowMillis) {
         decay(nowMillis);
         freed++;
     }
 
-    /** Places that became free in a millisecond. */
+    /** Returns the average number of slots released per millisecond. */
     public double perMilli(long nowMillis) {
         decay(nowMillis);
         return freed / WINDOW_MILLIS;
--- a/core/src/main/java/org/streamring/kernel/admission/RequestDemand.java
+++ b/core/src/main/java/org/streamring/kernel/admission/RequestDemand.java
@@ -2,37 +2,37 @@
 
 import java.util.function.BooleanSupplier;
 
-/** Whether a request is still wanted at the moment at which it would be sent. Confined to one thread. */
+/** Checks whether a request is still worth sending to a replica. Confined to one thread. */
 public final class RequestDemand {
-    /** No replica answers a request within less than this. */
-    static final long LEAST_TIME_MILLIS = 30;
+    /** Minimum time that any replica needs to answer a request. */
+    static final long MIN_ANSWER_MILLIS = 30;
 
     private final BooleanSupplier callerPresent;
     private final long deadlineMillis;
 
-    /** What speaks against sending a request. */
+    /** Result of the check. */
     public enum Verdict {
-        /** Nothing: its caller waits for it. */
+        /** The request can be sent: its caller is waiting for the answer. */
         WANTED,
-        /** Its caller has left. */
+        /** The caller has disconnected. */
         CALLER_GONE,
-        /** Its answer would come too late. */
+        /** The answer would arrive too late. */
         NO_TIME
     }
 
     /**
-     * Creates one.
+     * Creates a check for one request.
      *
-     * @param callerPresent looks whether the caller is there at that moment; what was heard of it in an earlier turn of
-     *     an event loop may be seconds old
-     * @param deadlineMillis when the request must have its final answer
+     * @param callerPresent checks whether the caller is still connected at the time of the call; a state recorded in an
+     *     earlier iteration of the event loop may be seconds old
+     * @param deadlineMillis time at which the final answer must be complete
      */
     public RequestDemand(BooleanSupplier callerPresent, long deadlineMillis) {
         this.callerPresent = callerPresent;
         this.deadlineMillis = deadlineMillis;
     }
 
-    /** Judges now. */
+    /** Checks the request at the given time. */
     public Verdict at(long nowMillis) {
         if (!hasTime(nowMillis)) {
             return Verdict.NO_TIME;
@@ -40,8 +40,8 @@
         return callerPresent.getAsBoolean() ? Verdict.WANTED : Verdict.CALLER_GONE;
     }
 
-    /** Whether an answer could come in time. */
+    /** Returns whether an answer can arrive before the deadline. */
     public boolean hasTime(long nowMillis) {
-        return deadlineMillis - nowMillis > LEAST_TIME_MILLIS;
+        return deadlineMillis - nowMillis > MIN_ANSWER_MILLIS;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/admission/WaitDecision.java
+++ b/core/src/main/java/org/streamring/kernel/admission/WaitDecision.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Whether a request waits for a place.
+ * Decision whether a request waits for a free slot.
  *
- * @param waits whether it waits; it is refused otherwise
- * @param retryAfter when its caller is told to come back, if it is refused
+ * @param waits whether the request waits; otherwise it is refused
+ * @param retryAfter time after which the caller of a refused request is asked to retry
  */
 public record WaitDecision(boolean waits, Duration retryAfter) {
-    /** The request waits on. */
+    /** The request continues to wait. */
     public static final WaitDecision WAIT = new WaitDecision(true, Duration.ZERO);
 
-    /** The request is refused. */
+    /** Creates a decision to refuse the request. */
     public static WaitDecision refuse(Duration retryAfter) {
         return new WaitDecision(false, retryAfter);
     }
--- a/core/src/main/java/org/streamring/kernel/admission/WaitPolicy.java
+++ b/core/src/main/java/org/streamring/kernel/admission/WaitPolicy.java
@@ -1,7 +1,9 @@
 package org.streamring.kernel.admission;
 
-/** Decides whether a request for which no place is free waits, and when a caller who is turned away comes back. */
+/**
+ * Decides whether a request waits if no slot is free, and after which time the caller of a refused request may retry.
+ */
 public interface WaitPolicy {
-    /** Decides now; asked again while the request waits. */
+    /** Returns the decision for the current state of a request; called repeatedly while the request waits. */
     WaitDecision decide(WaitQuery query);
 }
--- a/core/src/main/java/org/streamring/kernel/admission/WaitQuery.java
+++ b/core/src/main/java/org/streamring/kernel/admission/WaitQuery.java
@@ -1,18 +1,18 @@
 package org.streamring.kernel.admission;
 
 /**
- * What is known of a request for which no place is free.
+ * State of a request for which no slot is free.
  *
- * @param waitedMillis time since it arrived
- * @param targetMillis time within which its first answer counts fully, from its arrival
- * @param leftMillis time until it must have its final answer
- * @param ahead requests that wait here and go before it
- * @param freedPerMilli places that became free for this entry lately, in a millisecond on average
- * @param closedMillis time until a replica may be asked at all, as they said themselves; 0 if one may now, or none is
- *     known; {@link #NEVER} if all leave
+ * @param waitedMillis time since the request arrived
+ * @param targetMillis time from arrival within which the first part of the answer counts as in time
+ * @param leftMillis time until the deadline for the final answer
+ * @param ahead number of requests waiting at this entry that are served before this one
+ * @param freedPerMilli average number of slots per millisecond that were recently released for this entry
+ * @param closedMillis time until the first replica accepts requests again, as announced by the replicas; 0 if one
+ *     accepts requests now or no replica is known; {@link #NEVER} if all replicas are shutting down
  */
 public record WaitQuery(
         long waitedMillis, long targetMillis, long leftMillis, int ahead, double freedPerMilli, long closedMillis) {
-    /** No replica that is known will take anything again. */
+    /** Value of {@code closedMillis} if no known replica will accept requests again. */
     public static final long NEVER = Long.MAX_VALUE;
 }
--- a/core/src/main/java/org/streamring/kernel/admission/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Whether a request waits or is turned away, and what this box can do itself at the moment. */
+/** Decides whether a request waits or is refused, and detects overload of the link and the event loop of this box. */
 @NullMarked
 package org.streamring.kernel.admission;
 
--- a/core/src/test/java/org/streamring/kernel/admission/FixedWindowTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/FixedWindowTest.java
@@ -9,7 +9,7 @@
     private final WaitPolicy policy = new FixedWindow();
 
     @Test
-    public void aRequestWaitsForAFifthOfItsTargetWhateverIsAhead() {
+    public void aRequestWaitsForAFifthOfItsTargetRegardlessOfTheQueueLength() {
         assertThat(policy.decide(new WaitQuery(199, 1_000, 10_000, 500, 0, 0)).waits())
                 .isTrue();
         WaitDecision refused = policy.decide(new WaitQuery(200, 1_000, 10_000, 0, 10, 0));
@@ -18,7 +18,7 @@
     }
 
     @Test
-    public void aRequestThatNoReplicaTakesInTimeIsRefusedAtOnceUntilOneDoes() {
+    public void aRequestIsRefusedImmediatelyIfNoReplicaOpensWithinItsWait() {
         WaitDecision refused = policy.decide(new WaitQuery(0, 1_000, 10_000, 0, 10, 201));
         assertThat(refused).isEqualTo(WaitDecision.refuse(Duration.ofMillis(201)));
         assertThat(policy.decide(new WaitQuery(0, 1_000, 10_000, 0, 10, 200)).waits())
@@ -26,13 +26,13 @@
     }
 
     @Test
-    public void aRequestThatIsLookedAtLaterThanItsWaitEndsIsTurnedAwayForAsLong() {
+    public void aRequestCheckedAfterTheEndOfItsWaitIsRefusedWithTheSameRetryTime() {
         WaitDecision refused = policy.decide(new WaitQuery(215, 1_000, 10_000, 0, 10, 0));
         assertThat(refused).isEqualTo(WaitDecision.refuse(FixedWindow.RETRY_AFTER));
     }
 
     @Test
-    public void whereAllReplicasLeaveARequestIsRefusedAtOnce() {
+    public void aRequestIsRefusedImmediatelyIfAllReplicasAreShuttingDown() {
         WaitDecision refused = policy.decide(new WaitQuery(0, 1_000, 10_000, 0, 10, WaitQuery.NEVER));
         assertThat(refused).isEqualTo(WaitDecision.refuse(FixedWindow.RETRY_AFTER));
     }
--- a/core/src/test/java/org/streamring/kernel/admission/LoopLatenessTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/LoopLatenessTest.java
@@ -14,18 +14,18 @@
     }
 
     @Test
-    public void shortDelaysAreNoChange() {
+    public void shortDelaysCauseNoChange() {
         assertThat(lateness.ran(LoopLateness.LATE_MILLIS, 1_000)).isEmpty();
     }
 
     @Test
-    public void aLoopThatBecomesLateIsToldOnce() {
+    public void aLoopThatBecomesLateIsReportedOnce() {
         assertThat(lateness.ran(400, 1_000)).contains(new LoopLateness.Change(true, 400, 400, 400));
         assertThat(lateness.ran(900, 2_000)).isEmpty();
     }
 
     @Test
-    public void itIsInTimeAgainOnlyWhereDelaysAreShort() {
+    public void theLoopIsInTimeAgainOnlyAfterAShortDelay() {
         lateness.ran(400, 1_000);
         lateness.ran(900, 2_000);
         assertThat(lateness.ran(LoopLateness.IN_TIME_MILLIS + 1, 2_100)).isEmpty();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void theLongestDelayIsThatOfOneSpell() {
+    public void theLongestDelayIsResetWhenTheLoopBecomesLateAgain() {
         lateness.ran(900, 1_000);
         lateness.ran(0, 1_100);
         lateness.ran(200, 5_000);
--- a/core/src/test/java/org/streamring/kernel/admission/PlacePaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/PlacePaceTest.java
@@ -8,16 +8,16 @@
 
 public class PlacePaceTest {
     @Test
-    public void aSteadyPaceIsLearnedWithinSeconds() {
-        PlacePace pace = new PlacePace();
-        LongStream.range(0, 200).map(each -> each * 25).forEach(pace::freed);
-        assertThat(pace.perMilli(5_000)).isCloseTo(1 / 25.0, within(0.002));
+    public void aConstantRateIsMeasuredWithinSeconds() {
+        PlacePace rate = new PlacePace();
+        LongStream.range(0, 200).map(each -> each * 25).forEach(rate::freed);
+        assertThat(rate.perMilli(5_000)).isCloseTo(1 / 25.0, within(0.002));
     }
 
     @Test
-    public void aPaceThatEndsIsForgotten() {
-        PlacePace pace = new PlacePace();
-        LongStream.range(0, 40).map(each -> each * 25).forEach(pace::freed);
-        assertThat(pace.perMilli(6_000)).isLessThan(0.001);
+    public void theRateDecaysAfterReleasesEnd() {
+        PlacePace rate = new PlacePace();
+        LongStream.range(0, 40).map(each -> each * 25).forEach(rate::freed);
+        assertThat(rate.perMilli(6_000)).isLessThan(0.001);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/admission/RequestDemandTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/RequestDemandTest.java
@@ -6,33 +6,33 @@
 import org.testng.annotations.Test;
 
 public class RequestDemandTest {
-    private static final long DEADLINE = 1_000;
+    private static final long DEADLINE_MILLIS = 1_000;
 
-    private int looks;
+    private int presenceChecks;
     private boolean present = true;
-    private final RequestDemand demand = new RequestDemand(this::look, DEADLINE);
+    private final RequestDemand demand = new RequestDemand(this::checkPresence, DEADLINE_MILLIS);
 
-    private boolean look() {
-        looks++;
+    private boolean checkPresence() {
+        presenceChecks++;
         return present;
     }
 
     @Test
-    public void theCallerIsLookedForEachTime() {
-        int before = looks;
+    public void thePresenceOfTheCallerIsCheckedOnEachCall() {
+        int before = presenceChecks;
         present = true;
         assertThat(demand.at(0)).isEqualTo(Verdict.WANTED);
         present = false;
         assertThat(demand.at(0)).isEqualTo(Verdict.CALLER_GONE);
-        assertThat(looks - before).isEqualTo(2);
+        assertThat(presenceChecks - before).isEqualTo(2);
     }
 
     @Test
-    public void aRequestWithoutTimeIsNotWantedWhoeverWaits() {
-        long last = DEADLINE - RequestDemand.LEAST_TIME_MILLIS;
-        assertThat(demand.hasTime(last - 1)).isTrue();
-        assertThat(demand.hasTime(last)).isFalse();
-        assertThat(demand.at(last)).isEqualTo(Verdict.NO_TIME);
-        assertThat(demand.at(DEADLINE + 1)).isEqualTo(Verdict.NO_TIME);
+    public void aRequestWithoutTimeLeftIsNotSentEvenIfItsCallerWaits() {
+        long latestMillis = DEADLINE_MILLIS - RequestDemand.MIN_ANSWER_MILLIS;
+        assertThat(demand.hasTime(latestMillis - 1)).isTrue();
+        assertThat(demand.hasTime(latestMillis)).isFalse();
+        assertThat(demand.at(latestMillis)).isEqualTo(Verdict.NO_TIME);
+        assertThat(demand.at(DEADLINE_MILLIS + 1)).isEqualTo(Verdict.NO_TIME);
     }
 }
