--- a/core/src/main/java/org/streamring/kernel/route/RouteTable.java
+++ b/core/src/main/java/org/streamring/kernel/route/RouteTable.java
@@ -12,7 +12,7 @@
 import org.streamring.model.route.RoutingConfiguration;
 import org.streamring.model.route.ServiceTraits;
 
-/** An immutable index over one version of the configuration. */
+/** Immutable index of the routes, accounts and services of one configuration version. */
 public final class RouteTable {
     private final RoutingConfiguration configuration;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
@@ -20,19 +20,18 @@
     private final Map<String, PrepaidAccount> accountsByName = new HashMap<>();
     private final Map<String, ServiceTraits> services = new HashMap<>();
 
-    /** Indexes a configuration. */
+    /** Creates the index for a configuration. */
     public RouteTable(RoutingConfiguration configuration) {
         this.configuration = configuration;
         Comparator<Route> longestPrefixFirst = Comparator.comparingInt(
                         (Route route) -> route.pathPrefix().length())
                 .reversed();
-        Map<String, List<Route>> unordered = new HashMap<>();
+        Map<String, List<Route>> unsorted = new HashMap<>();
         for (Route route : configuration.routes()) {
-            unordered
-                    .computeIfAbsent(route.host(), host -> new java.util.ArrayList<>())
+            unsorted.computeIfAbsent(route.host(), host -> new java.util.ArrayList<>())
                     .add(route);
         }
-        unordered.forEach((host, routes) -> routesByHost.put(
+        unsorted.forEach((host, routes) -> routesByHost.put(
                 host, routes.stream().sorted(longestPrefixFirst).toList()));
         for (PrepaidAccount account : configuration.accounts()) {
             accountsByName.put(account.name(), account);
@@ -41,21 +40,21 @@
         configuration.services().forEach(service -> services.put(service.name(), service));
     }
 
-    /** Version of the configuration. */
+    /** Returns the version of the configuration. */
     public long version() {
         return configuration.version();
     }
 
-    /** The configuration itself. */
+    /** Returns the configuration. */
     public RoutingConfiguration configuration() {
         return configuration;
     }
 
     /**
-     * Finds the route with the longest matching prefix.
+     * Returns the route of the host with the longest matching path prefix, or empty if there is none.
      *
      * @param host value of the host header, with or without a port
-     * @param target request target; a query is ignored
+     * @param target request target; its query is ignored
      */
     public Optional<Route> find(String host, String target) {
         String path = pathOf(target);
@@ -64,37 +63,37 @@
                 .findFirst();
     }
 
-    /** Whether requests on this route must carry a key. */
+    /** Returns whether requests on this route must have an account key. */
     public boolean needsKey(Route route) {
         return !route.isPublic() && !configuration.accounts().isEmpty();
     }
 
-    /** The account that holds a key. */
+    /** Returns the account to which a key belongs. */
     public Optional<PrepaidAccount> accountOfKey(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
-    /** The account of a name. */
+    /** Returns the account with the given name. */
     public Optional<PrepaidAccount> account(String name) {
         return Optional.ofNullable(accountsByName.get(name));
     }
 
-    /** What is known of a service. */
+    /** Returns the traits of a service; a plain service without connection limit if it is not configured. */
     public ServiceTraits service(String name) {
         return services.getOrDefault(name, new ServiceTraits(name, Integer.MAX_VALUE, 0, 0, 0));
     }
 
     /**
-     * Picks the service of one request.
+     * Selects the target service of a request according to the weights of the route.
      *
-     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
+     * @param draw random number from 0 (inclusive) to 1 (exclusive)
      */
     public static String pickService(Route route, double draw) {
         double total = route.targets().stream().mapToDouble(RouteTarget::weight).sum();
-        double point = draw * total;
+        double remaining = draw * total;
         for (RouteTarget target : route.targets()) {
-            point -= target.weight();
-            if (point < 0) {
+            remaining -= target.weight();
+            if (remaining < 0) {
                 return target.service();
             }
         }
--- a/core/src/test/java/org/streamring/kernel/route/RouteTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/route/RouteTableTest.java
@@ -23,13 +23,13 @@
             new RoutingConfiguration(7, List.of(outer, inner), List.of(), List.of(account), CallerLimits.DEFAULT));
 
     @Test
-    public void theLongestPrefixWins() {
+    public void theRouteWithTheLongestPrefixIsFound() {
         assertThat(table.find("h.example", "/a/b/c")).contains(inner);
         assertThat(table.find("h.example", "/a/c")).contains(outer);
     }
 
     @Test
-    public void hostsMatchWithoutCaseAndPort() {
+    public void hostsMatchIgnoringCaseAndPort() {
         assertThat(table.find("H.Example:8080", "/a/c")).contains(outer);
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void otherHostsAndPathsHaveNoRoute() {
+    public void unknownHostsAndPathsHaveNoRoute() {
         assertThat(table.find("other.example", "/a/")).isEmpty();
         assertThat(table.find("h.example", "/a")).isEmpty();
     }
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void servicesArePickedByWeight() {
+    public void servicesAreSelectedByWeight() {
         assertThat(RouteTable.pickService(inner, 0.0)).isEqualTo("s1");
         assertThat(RouteTable.pickService(inner, 0.899)).isEqualTo("s1");
         assertThat(RouteTable.pickService(inner, 0.901)).isEqualTo("s2");
