--- a/core/src/main/java/org/streamring/kernel/policy/BuiltInPolicy.java
+++ b/core/src/main/java/org/streamring/kernel/policy/BuiltInPolicy.java
@@ -1,6 +1,9 @@
 package org.streamring.kernel.policy;
 
-/** The policy of services that name none: admits all, ranks by class, and prefers the least loaded. */
+/**
+ * Default policy for services without a declared policy: admits all requests, uses the rank of the priority class, and
+ * prefers the least loaded candidate.
+ */
 public final class BuiltInPolicy implements CompiledPolicy {
     @Override
     public boolean admits(PolicyInput input) {
--- a/core/src/main/java/org/streamring/kernel/policy/CandidateInput.java
+++ b/core/src/main/java/org/streamring/kernel/policy/CandidateInput.java
@@ -1,12 +1,12 @@
 package org.streamring.kernel.policy;
 
 /**
- * What a policy sees of a candidate.
+ * Properties of a candidate backend server that a policy can use.
  *
- * @param name backend server
- * @param failureDomain its failure domain
- * @param sameDomain whether that is the entry's own
- * @param load attempts in progress with this one, over capacity; raised while the server is slower than others or comes
- *     back after failures
+ * @param name name of the backend server
+ * @param failureDomain failure domain of the backend server
+ * @param sameDomain whether the entry is in the same failure domain
+ * @param load attempts in progress, including this one, divided by capacity; increased while the server is slower than
+ *     others or recovers from failures
  */
 public record CandidateInput(String name, String failureDomain, boolean sameDomain, double load) {}
--- a/core/src/main/java/org/streamring/kernel/policy/CompiledPolicy.java
+++ b/core/src/main/java/org/streamring/kernel/policy/CompiledPolicy.java
@@ -1,13 +1,13 @@
 package org.streamring.kernel.policy;
 
-/** A policy ready to be evaluated; safe for use by many threads. */
+/** Policy that can be evaluated. Implementations are thread-safe. */
 public interface CompiledPolicy {
-    /** Whether the request may run. */
+    /** Returns whether the request is admitted. */
     boolean admits(PolicyInput input) throws PolicyException;
 
-    /** Rank from 0, served first. */
+    /** Returns the rank of the request; rank 0 is served first. */
     int rank(PolicyInput input) throws PolicyException;
 
-    /** Cost of a candidate; the lowest wins. */
+    /** Returns the cost of a candidate; the one with the lowest cost is chosen. */
     double score(PolicyInput input, CandidateInput candidate) throws PolicyException;
 }
--- a/core/src/main/java/org/streamring/kernel/policy/PolicyCompiler.java
+++ b/core/src/main/java/org/streamring/kernel/policy/PolicyCompiler.java
@@ -3,16 +3,21 @@
 import java.util.ServiceLoader;
 import org.streamring.model.declaration.PolicyDeclaration;
 
-/** Compiles policies; implementations register themselves with {@link ServiceLoader}. */
+/** Compiles policies. Implementations are found with {@link ServiceLoader}. */
 public interface PolicyCompiler {
     /**
-     * Compiles and checks a policy.
+     * Compiles and validates a policy.
      *
-     * @param name its name, for messages
+     * @param name name of the policy, used in error messages
+     * @throws PolicyException if an expression of the policy is invalid
      */
     CompiledPolicy compile(String name, PolicyDeclaration policy) throws PolicyException;
 
-    /** Finds the registered compiler. */
+    /**
+     * Returns the registered compiler.
+     *
+     * @throws IllegalStateException if none is registered
+     */
     static PolicyCompiler load() {
         return ServiceLoader.load(PolicyCompiler.class)
                 .findFirst()
--- a/core/src/main/java/org/streamring/kernel/policy/PolicyDecision.java
+++ b/core/src/main/java/org/streamring/kernel/policy/PolicyDecision.java
@@ -3,13 +3,13 @@
 import org.streamring.model.declaration.PriorityClass;
 
 /**
- * What a policy decides on a request before a backend server is chosen.
+ * Decision of a policy on a request, made before a backend server is chosen.
  *
- * @param admitted whether the request may run
- * @param rank its rank, brought into the range of ranks; {@link PriorityClass#LOWEST_RANK} if it may not run
+ * @param admitted whether the request is admitted
+ * @param rank rank of the request, limited to the valid range; {@link PriorityClass#LOWEST_RANK} if it is not admitted
  */
 public record PolicyDecision(boolean admitted, int rank) {
-    /** Evaluates a policy, in an entry as in a dry run. */
+    /** Evaluates a policy; used both for requests and for dry runs. */
     public static PolicyDecision of(CompiledPolicy policy, PolicyInput input) throws PolicyException {
         if (!policy.admits(input)) {
             return new PolicyDecision(false, PriorityClass.LOWEST_RANK);
--- a/core/src/main/java/org/streamring/kernel/policy/PolicyException.java
+++ b/core/src/main/java/org/streamring/kernel/policy/PolicyException.java
@@ -1,14 +1,14 @@
 package org.streamring.kernel.policy;
 
-/** A policy that can't be compiled or evaluated. */
+/** Thrown if a policy cannot be compiled or evaluated. */
 public class PolicyException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param step which expression of which policy
-     * @param message what is wrong, with line and column where known
+     * @param step expression and policy in which the error occurred
+     * @param message description of the error, with line and column if known
      */
     public PolicyException(String step, String message) {
         super(step + ": " + message);
--- a/core/src/main/java/org/streamring/kernel/policy/PolicyInput.java
+++ b/core/src/main/java/org/streamring/kernel/policy/PolicyInput.java
@@ -5,16 +5,16 @@
 import org.streamring.model.declaration.PriorityClass;
 
 /**
- * What a policy sees of a request.
+ * Properties of a request that a policy can use.
  *
- * @param account client account
- * @param service service asked
- * @param priorityClass the account's priority class
- * @param rank rank of that class
- * @param promptTokens bound on the prompt tokens
- * @param answerTokens limit of the answer
- * @param budget budget that pays
- * @param repeatable whether a second run does no harm
+ * @param account name of the client account
+ * @param service name of the requested service
+ * @param priorityClass priority class of the account
+ * @param rank rank of the priority class
+ * @param promptTokens upper bound of the prompt tokens
+ * @param answerTokens maximum number of answer tokens
+ * @param budget budget that is charged for the request
+ * @param repeatable whether the request can safely be sent more than once
  */
 public record PolicyInput(
         String account,
@@ -27,12 +27,12 @@
         boolean repeatable) {
 
     /**
-     * What a policy sees of a request of a declared account.
+     * Creates the input for a request of a declared account.
      *
      * @param account name of the client account
-     * @param declared its declaration
-     * @param service name of the service asked
-     * @param classes priority classes declared
+     * @param declared declaration of the account
+     * @param service name of the requested service
+     * @param classes declared priority classes by name
      */
     public static PolicyInput of(
             String account,
--- a/core/src/main/java/org/streamring/kernel/policy/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/policy/package-info.java
@@ -1,4 +1,6 @@
-/** What a policy may see and decide; compilers are plug-ins found by ServiceLoader. */
+/**
+ * Inputs and decisions of policies. Policy compilers are plug-ins that are found with {@link java.util.ServiceLoader}.
+ */
 @NullMarked
 package org.streamring.kernel.policy;
 
