--- a/direct/src/main/java/org/streamring/direct/request/AnswerRelay.java
+++ b/direct/src/main/java/org/streamring/direct/request/AnswerRelay.java
@@ -7,10 +7,10 @@
 import org.streamring.direct.caller.AnswerWriter;
 
 /**
- * Passes the answer on: whole answers when they are complete, streams event by event.
+ * Passes an answer on to the caller: non-streamed answers when they are complete, streams event by event.
  *
- * <p>A stream begins with its first event and keeps the head of its first replica; a part of an event that a replica
- * left behind is dropped. Confined to the event loop.
+ * <p>The head of a stream is sent with its first event. If another replica continues the stream, the head of the first
+ * replica remains in effect and an incomplete event of that replica is dropped. Confined to the event loop.
  */
 final class AnswerRelay {
     private final boolean stream;
@@ -19,8 +19,8 @@
     private Optional<String> lastEventId;
     private EventSplitter splitter = new EventSplitter();
     private @Nullable AnswerHead head;
-    private boolean begun;
-    private @Nullable BufferedAnswer whole;
+    private boolean started;
+    private @Nullable BufferedAnswer bufferedAnswer;
     private final StreamTiming timing;
 
     AnswerRelay(
@@ -36,67 +36,67 @@
         this.lastEventId = lastEventId;
     }
 
-    /** Last event that the caller has. */
+    /** Returns the identifier of the last event that the caller received. */
     Optional<String> lastEventId() {
         return lastEventId;
     }
 
-    /** Whether a part of the answer was sent. */
-    boolean begun() {
-        return begun;
+    /** Whether a part of the answer was already sent to the caller. */
+    boolean started() {
+        return started;
     }
 
-    /** Whether the answer with this head is to be streamed. */
-    boolean streams(AnswerHead candidate) {
+    /** Whether an answer with this head is passed on as a stream. */
+    boolean isStreamed(AnswerHead candidate) {
         String type = candidate.headers().get("content-type");
         return stream && candidate.status() == 200 && type != null && type.startsWith("text/event-stream");
     }
 
-    /** A replica begins to answer. */
-    void newStream(AnswerHead candidate) {
+    /** Called when a replica starts a streamed answer. */
+    void streamStarted(AnswerHead candidate) {
         splitter = new EventSplitter();
-        if (head == null || !begun) {
+        if (head == null || !started) {
             head = candidate;
         }
     }
 
-    /** Passes whole events on; returns how many. */
+    /** Passes the events that are complete on to the caller; returns their number. */
     int streamData(byte[] data) {
         List<EventSplitter.Event> events = splitter.add(data);
         for (EventSplitter.Event event : events) {
-            beginOnce();
+            sendHeadOnce();
             event.id().ifPresent(id -> lastEventId = Optional.of(id));
             writer.data(event.bytes());
-            timing.event();
+            timing.recordEvent();
         }
         return events.size();
     }
 
-    /** Whether a replica's stream ended between two events. */
+    /** Whether the stream received so far ends at an event boundary. */
     boolean endsBetweenEvents() {
         return !splitter.hasPartial();
     }
 
-    /** Keeps a whole answer until the end. */
-    void whole(BufferedAnswer answer) {
-        whole = answer;
+    /** Buffers a complete answer until {@link #end}. */
+    void buffer(BufferedAnswer answer) {
+        bufferedAnswer = answer;
     }
 
-    /** Ends the answer as complete. */
+    /** Completes the answer to the caller. */
     void end() {
-        BufferedAnswer buffered = whole;
-        if (buffered != null && !begun) {
+        BufferedAnswer buffered = bufferedAnswer;
+        if (buffered != null && !started) {
             writer.whole(
                     buffered.head().status(), filter.forCaller(buffered.head().headers()), buffered.body());
             return;
         }
-        beginOnce();
+        sendHeadOnce();
         writer.end();
     }
 
-    private void beginOnce() {
-        if (!begun && head != null) {
-            begun = true;
+    private void sendHeadOnce() {
+        if (!started && head != null) {
+            started = true;
             writer.begin(head.status(), filter.forCaller(head.headers()));
         }
     }
--- a/direct/src/main/java/org/streamring/direct/request/AttemptEnd.java
+++ b/direct/src/main/java/org/streamring/direct/request/AttemptEnd.java
@@ -3,33 +3,36 @@
 import java.util.Optional;
 
 /**
- * How an attempt ended.
+ * Result of an attempt.
  *
- * @param kind what is known of it
+ * @param kind kind of the result
  * @param reason short name of the cause
- * @param answer the backend server's own failure, if it gave one
+ * @param answer failure answer of the backend server, if it sent one
  */
 record AttemptEnd(Kind kind, String reason, Optional<BufferedAnswer> answer) {
     enum Kind {
-        /** The caller has the whole answer. */
+        /** The complete answer arrived. */
         WHOLE,
         /** No byte was sent. */
         NOT_SENT,
-        /** No byte was sent, as the replica said meanwhile that it leaves or wants rest. */
+        /** No byte was sent, as the replica announced in the meantime that it is shutting down or backs off. */
         WITHDRAWN,
-        /** The backend server promised not to run it. */
+        /** The backend server stated that it does not run the request. */
         NOT_RUN,
         /** The backend server answered with a failure. */
         FAILED,
-        /** No sound answer came; it may have run. */
+        /** No valid answer arrived; the request may have run. */
         BROKEN,
-        /** Nothing came, and nothing over other connections to the backend server; it may have run. */
+        /** Nothing arrived on this or any other connection to the backend server; the request may have run. */
         SILENT,
-        /** Its connection fell silent; it may have run, and its replica may be asked again over another connection. */
+        /**
+         * The connection fell silent. The request may have run, and the replica may be tried again over another
+         * connection.
+         */
         UNHEARD
     }
 
-    /** Whether no byte was sent, so that another replica may be asked without being a retry. */
+    /** Whether no byte was sent, so that sending the request to another replica does not count as a retry. */
     boolean unsent() {
         return kind == Kind.NOT_SENT || kind == Kind.WITHDRAWN;
     }
--- a/direct/src/main/java/org/streamring/direct/request/AttemptHistory.java
+++ b/direct/src/main/java/org/streamring/direct/request/AttemptHistory.java
@@ -5,75 +5,75 @@
 import java.util.Set;
 import org.streamring.kernel.registry.BackendInstance;
 
-/** What the attempts of one request have come to so far. Confined to the event loop. */
+/** Results of the attempts of one request so far. Confined to the event loop. */
 final class AttemptHistory {
-    private final Set<String> tried = new HashSet<>();
-    private Optional<BackendInstance> newest = Optional.empty();
+    private final Set<String> excludedReplicas = new HashSet<>();
+    private Optional<BackendInstance> lastReplica = Optional.empty();
     private Optional<AttemptEnd> lastEnd = Optional.empty();
     private int sent;
     private int unsent;
     private boolean mayHaveRun;
 
-    /** A replica was chosen for the next attempt. */
+    /** Records the replica chosen for the next attempt. */
     void chosen(BackendInstance instance) {
-        tried.add(instance.id());
-        newest = Optional.of(instance);
+        excludedReplicas.add(instance.id());
+        lastReplica = Optional.of(instance);
     }
 
-    /** An attempt may have reached its replica. */
+    /** Counts an attempt that may have reached its replica. */
     void sent() {
         sent++;
     }
 
-    /** An attempt that is given up may have run. */
-    void givenUp(boolean wasSent) {
+    /** Records that an attempt was cancelled; it may have run if it was sent. */
+    void cancelled(boolean wasSent) {
         mayHaveRun |= wasSent;
     }
 
-    /** An attempt is over. */
+    /** Records how an attempt ended. */
     void ended(AttemptEnd end) {
         lastEnd = Optional.of(end);
         switch (end.kind()) {
             case NOT_SENT -> unsent++;
             case WITHDRAWN -> {
                 unsent++;
-                newest.map(BackendInstance::id).ifPresent(tried::remove);
+                lastReplica.map(BackendInstance::id).ifPresent(excludedReplicas::remove);
             }
             case FAILED, BROKEN, SILENT -> mayHaveRun = true;
             case UNHEARD -> {
                 mayHaveRun = true;
-                newest.map(BackendInstance::id).ifPresent(tried::remove);
+                lastReplica.map(BackendInstance::id).ifPresent(excludedReplicas::remove);
             }
             default -> {}
         }
     }
 
-    /** Replicas that are not asked again. */
-    Set<String> tried() {
-        return tried;
+    /** Returns the identifiers of the replicas that are excluded from further attempts. */
+    Set<String> excludedReplicas() {
+        return excludedReplicas;
     }
 
-    /** The replica that was chosen last. */
-    Optional<BackendInstance> newest() {
-        return newest;
+    /** Returns the replica that was chosen last; empty if none was chosen. */
+    Optional<BackendInstance> lastReplica() {
+        return lastReplica;
     }
 
-    /** Identifier of the replica that was chosen last; empty if none was. */
-    String newestId() {
-        return newest.map(BackendInstance::id).orElse("");
+    /** Returns the identifier of the replica that was chosen last; an empty string if none was chosen. */
+    String lastReplicaId() {
+        return lastReplica.map(BackendInstance::id).orElse("");
     }
 
-    /** How the last attempt ended; empty before one did. */
+    /** Returns how the last attempt ended; empty if none has ended. */
     Optional<AttemptEnd> lastEnd() {
         return lastEnd;
     }
 
-    /** Attempts that may have reached a replica. */
+    /** Returns the number of attempts that may have reached a replica. */
     int attempts() {
         return sent;
     }
 
-    /** Attempts of which no byte was sent. */
+    /** Returns the number of attempts for which no byte was sent. */
     int unsent() {
         return unsent;
     }
--- a/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
+++ b/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
@@ -23,16 +23,16 @@
 
 /** One attempt of a request at one replica: judges the answer and the replica's health. Confined to the event loop. */
 final class AttemptRun implements AttemptListener {
-    private static final int SERVER_ERROR = 500;
-    private static final int FIRST_FAILURE = 300;
-    private static final long WATCH_MILLIS = 200;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
+    private static final int FIRST_NON_SUCCESS_STATUS = 300;
+    private static final long SILENCE_CHECK_INTERVAL_MILLIS = 200;
     /**
-     * Plain calls take up to some 400 ms and prompts begin within a second; what is sent elsewhere now may still be
-     * in time.
+     * Plain calls take up to about 400 ms, and answers to prompts begin within a second. A request that is sent to
+     * another replica after this time may still be answered in time.
      */
-    private static final long SILENT_MILLIS = 1_000;
-    /** Forecasts of the first event are at most this far off while a replica is sound. */
-    private static final int READING_SLACK = 3;
+    private static final long SILENCE_TIMEOUT_MILLIS = 1_000;
+    /** A healthy replica sends its first event within this multiple of the forecast time. */
+    private static final int FORECAST_TOLERANCE_FACTOR = 3;
 
     private final RequestServices services;
     private final RequestPlan plan;
@@ -43,25 +43,25 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private @Nullable BackendAttempt attempt;
     private @Nullable AnswerHead head;
-    private @Nullable Future<?> watch;
-    private @Nullable PlacedPrompt placed;
+    private @Nullable Future<?> silenceTimer;
+    private @Nullable PlacedPrompt placedPrompt;
     private @Nullable SendCheck sendCheck;
     private long beganMillis;
     private boolean streaming;
-    private boolean over;
+    private boolean finished;
 
-    /** The request that the attempt serves. */
+    /** Callbacks of the request that the attempt belongs to. */
     interface Owner {
-        /** Whether the request is still wanted; asked when its connection is there. */
-        boolean stillWanted();
+        /** Whether the request is still worth sending; called when the connection is established. */
+        boolean isStillLive();
 
-        /** The request may run from now on. */
+        /** Called when the request was sent and may run. */
         void attemptSent();
 
-        /** Events were passed on. */
-        void handedOut(int events);
+        /** Called when events were passed on to the caller. */
+        void eventsDelivered(int events);
 
-        /** The attempt is over. */
+        /** Called once when the attempt has ended, unless it was cancelled. */
         void attemptEnded(AttemptEnd end);
     }
 
@@ -76,24 +76,28 @@
 
     void begin(BackendRequest request, PlacementQuery query) {
         beganMillis = services.clock().getAsLong();
-        placed = services.fleet().started(query, plan.service(), instance);
+        placedPrompt = services.fleet().started(query, plan.service(), instance);
         SendCheck check = services.fleet().sendCheck(instance);
         sendCheck = check;
-        attempt = services.fleet().pool(instance).begin(request, () -> owner.stillWanted() && check.passes(), this);
-        watch = services.loop()
-                .scheduleAtFixedRate(this::checkSilence, WATCH_MILLIS, WATCH_MILLIS, TimeUnit.MILLISECONDS);
+        attempt = services.fleet().pool(instance).begin(request, () -> owner.isStillLive() && check.passes(), this);
+        silenceTimer = services.loop()
+                .scheduleAtFixedRate(
+                        this::checkSilence,
+                        SILENCE_CHECK_INTERVAL_MILLIS,
+                        SILENCE_CHECK_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    /** What was expected of the attempt; empty before it began. */
+    /** Returns the forecast for the attempt; empty before it began. */
     Optional<PlacementForecast> forecast() {
-        return Optional.ofNullable(placed).map(PlacedPrompt::forecast);
+        return Optional.ofNullable(placedPrompt).map(PlacedPrompt::forecast);
     }
 
     boolean sent() {
         return attempt != null && attempt.sent();
     }
 
-    /** When the request was written to a connection; empty before that. */
+    /** Returns the time at which the request was written to a connection; empty before that. */
     OptionalLong sentMillis() {
         return attempt == null ? OptionalLong.empty() : attempt.sentMillis();
     }
@@ -104,12 +108,12 @@
         }
     }
 
-    /** Gives the attempt up; the owner hears nothing more. */
+    /** Cancels the attempt. {@link Owner#attemptEnded} is not called afterwards. */
     void cancel() {
         if (sent()) {
             owner.attemptSent();
         } else {
-            noteNotSent();
+            returnPermit();
         }
         release();
         if (attempt != null) {
@@ -119,19 +123,19 @@
 
     private void checkSilence() {
         BackendAttempt waiting = attempt;
-        if (over || waiting == null || mayStillBeReading()) {
+        if (finished || waiting == null || mayStillReadPrompt()) {
             return;
         }
-        Silence silence = waiting.silence(SILENT_MILLIS);
+        Silence silence = waiting.silence(SILENCE_TIMEOUT_MILLIS);
         if (silence == Silence.CONNECTION) {
-            services.fleet().distrustIdle(waiting.quietSinceMillis());
+            services.fleet().closeIdleLastUsedBy(waiting.quietSinceMillis());
         }
         if (silence != Silence.NONE && plan.route().repeatable()) {
-            giveUpSilent(waiting, silence);
+            endSilentAttempt(waiting, silence);
         }
     }
 
-    private void giveUpSilent(BackendAttempt silent, Silence silence) {
+    private void endSilentAttempt(BackendAttempt silent, Silence silence) {
         boolean replicaSilent = silence == Silence.BACKEND;
         if (replicaSilent) {
             state.unreachable(services.clock().getAsLong());
@@ -140,18 +144,18 @@
         endAfterSending(replicaSilent ? AttemptEnd.silent() : AttemptEnd.unheard());
     }
 
-    /** A replica that reads long prompts answers nothing meanwhile. */
-    private boolean mayStillBeReading() {
+    /** Whether the replica may still be processing the prompt; it sends nothing while it processes long prompts. */
+    private boolean mayStillReadPrompt() {
         long expected = forecast().map(PlacementForecast::firstEventMillis).orElse(0L);
-        return services.clock().getAsLong() - beganMillis < READING_SLACK * expected;
+        return services.clock().getAsLong() - beganMillis < FORECAST_TOLERANCE_FACTOR * expected;
     }
 
     @Override
     public void onHead(AnswerHead answerHead) {
         head = answerHead;
-        streaming = relay.streams(answerHead) && sealed(answerHead);
+        streaming = relay.isStreamed(answerHead) && sealed(answerHead);
         if (streaming) {
-            relay.newStream(answerHead);
+            relay.streamStarted(answerHead);
         }
     }
 
@@ -164,28 +168,28 @@
         }
         int events = relay.streamData(data);
         if (events > 0) {
-            notePlaced(each -> each.answered(services.clock().getAsLong()));
-            owner.handedOut(events);
+            ifPlaced(each -> each.answered(services.clock().getAsLong()));
+            owner.eventsDelivered(events);
         }
     }
 
     @Override
     public void onEnd() {
-        AnswerHead answered = Objects.requireNonNull(head);
+        AnswerHead answeredHead = Objects.requireNonNull(head);
         if (streaming) {
             endStream();
             return;
         }
-        BufferedAnswer answer = new BufferedAnswer(answered, body.toByteArray());
-        if (answered.headers().contains(services.names().notRun()) || answered.status() == 421) {
-            notRun(answered);
+        BufferedAnswer answer = new BufferedAnswer(answeredHead, body.toByteArray());
+        if (answeredHead.headers().contains(services.names().notRun()) || answeredHead.status() == 421) {
+            endNotRun(answeredHead);
             return;
         }
-        if (answered.status() < FIRST_FAILURE) {
+        if (answeredHead.status() < FIRST_NON_SUCCESS_STATUS) {
             endSuccess(answer);
             return;
         }
-        if (answered.status() >= SERVER_ERROR) {
+        if (answeredHead.status() >= FIRST_SERVER_ERROR_STATUS) {
             state.failed(services.clock().getAsLong());
         } else {
             state.succeeded();
@@ -195,7 +199,7 @@
 
     private void endStream() {
         if (!relay.endsBetweenEvents()) {
-            spoiled("stream_cut_in_event");
+            endBroken("stream_cut_in_event");
             return;
         }
         state.succeeded();
@@ -204,27 +208,27 @@
 
     private void endSuccess(BufferedAnswer answer) {
         if (!sealed(answer.head())) {
-            spoiled("success_without_signature");
+            endBroken("success_without_signature");
             return;
         }
-        if (relay.begun()) {
-            spoiled("no_stream_where_one_was_begun");
+        if (relay.started()) {
+            endBroken("no_stream_where_one_was_begun");
             return;
         }
         state.succeeded();
-        relay.whole(answer);
+        relay.buffer(answer);
         endAfterSending(AttemptEnd.whole());
     }
 
-    private void notRun(AnswerHead answered) {
-        if (answered.status() == 421) {
+    private void endNotRun(AnswerHead answeredHead) {
+        if (answeredHead.status() == 421) {
             state.unreachable(services.clock().getAsLong());
         }
         release();
-        owner.attemptEnded(AttemptEnd.notRun("replica_refused_" + answered.status()));
+        owner.attemptEnded(AttemptEnd.notRun("replica_refused_" + answeredHead.status()));
     }
 
-    private void spoiled(String reason) {
+    private void endBroken(String reason) {
         state.failed(services.clock().getAsLong());
         endAfterSending(AttemptEnd.broken(reason));
     }
@@ -232,26 +236,26 @@
     @Override
     public void onFailure(AttemptFailure failure, String reason) {
         if (failure == AttemptFailure.WITHDRAWN) {
-            noteNotSent();
+            returnPermit();
             release();
             owner.attemptEnded(AttemptEnd.withdrawn());
             return;
         }
         if (failure == AttemptFailure.NOT_SENT) {
-            if (!services.fleet().ownBoxLate()) {
+            if (!services.fleet().isLocalBoxDelayed()) {
                 state.unreachable(services.clock().getAsLong());
             }
-            noteNotSent();
+            returnPermit();
             release();
             owner.attemptEnded(AttemptEnd.notSent("not_connected"));
             return;
         }
-        spoiled(streaming ? "stream_broken" : "no_whole_answer");
+        endBroken(streaming ? "stream_broken" : "no_whole_answer");
     }
 
-    private boolean sealed(AnswerHead answered) {
-        return answered.headers().contains(services.names().signature())
-                && !answered.headers().contains("content-encoding");
+    private boolean sealed(AnswerHead answeredHead) {
+        return answeredHead.headers().contains(services.names().signature())
+                && !answeredHead.headers().contains("content-encoding");
     }
 
     private void endAfterSending(AttemptEnd end) {
@@ -260,13 +264,13 @@
         owner.attemptEnded(end);
     }
 
-    private void notePlaced(Consumer<PlacedPrompt> note) {
-        if (placed != null) {
-            note.accept(placed);
+    private void ifPlaced(Consumer<PlacedPrompt> action) {
+        if (placedPrompt != null) {
+            action.accept(placedPrompt);
         }
     }
 
-    private void noteNotSent() {
+    private void returnPermit() {
         if (sendCheck != null) {
             sendCheck.notSent();
             sendCheck = null;
@@ -274,13 +278,13 @@
     }
 
     private void release() {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
-        notePlaced(PlacedPrompt::ended);
-        if (watch != null) {
-            watch.cancel(false);
+        finished = true;
+        ifPlaced(PlacedPrompt::ended);
+        if (silenceTimer != null) {
+            silenceTimer.cancel(false);
         }
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/BackendRequestBuilder.java
+++ b/direct/src/main/java/org/streamring/direct/request/BackendRequestBuilder.java
@@ -8,7 +8,7 @@
 import org.streamring.kernel.registry.BackendInstance;
 import org.streamring.platform.node.ForwardingHeaders;
 
-/** Builds what a replica gets of a caller's request. */
+/** Builds the request to a replica from a caller's request. */
 final class BackendRequestBuilder {
     private final ForwardingHeaders names;
     private final HeaderFilter filter;
@@ -25,8 +25,8 @@
     /**
      * Builds the request for one attempt.
      *
-     * @param callerWaitMillis how long the caller still waits
-     * @param lastEventId the last event that the caller got of a stream that is resumed
+     * @param callerWaitMillis milliseconds that the caller still waits
+     * @param lastEventId identifier of the last event that the caller received, if a stream is resumed
      */
     BackendRequest build(BackendInstance instance, long callerWaitMillis, Optional<String> lastEventId) {
         HttpHeaders headers =
--- a/direct/src/main/java/org/streamring/direct/request/BufferedAnswer.java
+++ b/direct/src/main/java/org/streamring/direct/request/BufferedAnswer.java
@@ -3,20 +3,23 @@
 import org.streamring.direct.backend.AnswerHead;
 
 /**
- * A whole answer of a backend server that was not streamed.
+ * A complete, non-streamed answer of a backend server.
  *
  * @param head status and headers
- * @param body whole body
+ * @param body complete body
  */
-@SuppressWarnings("ArrayRecordComponent") // bytes are handed on, not copied
+@SuppressWarnings("ArrayRecordComponent") // the array is passed on without being copied
 record BufferedAnswer(AnswerHead head, byte[] body) {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int UNAVAILABLE = 503;
     private static final int TIMEOUT = 408;
     private static final int MISDIRECTED = 421;
 
-    /** Whether the status promises nothing about the request that the entry could not promise itself. */
-    boolean passable() {
+    /**
+     * Whether this answer may be passed on to the caller. Statuses 408, 421, 429 and 503 may not: they state something
+     * about the request, such as that it did not run, that the entry itself can't guarantee.
+     */
+    boolean forwardable() {
         return switch (head.status()) {
             case TOO_MANY_REQUESTS, UNAVAILABLE, TIMEOUT, MISDIRECTED -> false;
             default -> true;
--- a/direct/src/main/java/org/streamring/direct/request/TokenUse.java
+++ b/direct/src/main/java/org/streamring/direct/request/DeclaredTokens.java
@@ -4,14 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Tokens of a request, as its caller declares them.
+ * Token counts that the caller declares for a request.
  *
  * @param prompt tokens of the prompt
- * @param mostAnswer most tokens of the answer
+ * @param maxAnswer maximum tokens of the answer
  */
-record TokenUse(long prompt, long mostAnswer) {
-    /** Reads a header; empty if it is missing or malformed. */
-    static Optional<TokenUse> parse(@Nullable String header) {
+record DeclaredTokens(long prompt, long maxAnswer) {
+    /** Parses the header; returns empty if it is missing or malformed. */
+    static Optional<DeclaredTokens> parse(@Nullable String header) {
         if (header == null) {
             return Optional.empty();
         }
@@ -22,14 +22,14 @@
         try {
             long prompt = Long.parseLong(header.substring(0, comma).trim());
             long answer = Long.parseLong(header.substring(comma + 1).trim());
-            return prompt < 0 || answer < 0 ? Optional.empty() : Optional.of(new TokenUse(prompt, answer));
+            return prompt < 0 || answer < 0 ? Optional.empty() : Optional.of(new DeclaredTokens(prompt, answer));
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
     }
 
-    /** Tokens at the request's most. */
-    long most() {
-        return prompt + mostAnswer;
+    /** Returns the maximum number of tokens that the request may use, prompt and answer together. */
+    long maxTotal() {
+        return prompt + maxAnswer;
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
+++ b/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
@@ -16,64 +16,64 @@
 import org.streamring.kernel.registry.BackendInstance;
 
 /**
- * One request from its arrival to its final answer: reserves tokens, finds a replica, sends the request, sends it
- * elsewhere where that is allowed, and settles. Confined to the event loop.
+ * Processes one request from its arrival to its final answer: reserves tokens, chooses a replica, sends the request,
+ * retries it at another replica where that is allowed, and settles the tokens. Confined to the event loop.
  */
-final class DirectRequest implements RequestSink.ActiveRequest, PlaceQueue.Waiting, AttemptRun.Owner {
-    private static final Duration RETRY_SOON = Duration.ofMillis(250);
-    /** Callers wait for this part of the time that they have left, at most. */
-    private static final int PARTS_OF_TIME_LEFT = 3;
+final class DirectRequest implements RequestSink.ActiveRequest, SlotQueue.Waiting, AttemptRun.Owner {
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(250);
+    /** Retry-After is at most the time that the caller has left, divided by this number. */
+    private static final int TIME_LEFT_DIVISOR = 3;
 
-    /** Reason of a refusal: servers have ended under this request, at this entry or at others. */
+    /** Reason of a refusal: servers crashed while they ran this request, through this entry or others. */
     private static final String CRASHES_SERVERS = "request_crashes_servers";
 
-    /** Callers who are refused in the same rest come back over this time, where all would come at its end. */
-    private static final int SPREAD_MILLIS = 250;
+    /** Spreads the retries of callers refused during the same back-off, which would otherwise all arrive at its end. */
+    private static final int MAX_RETRY_JITTER_MILLIS = 250;
 
-    private static final int MAX_UNSENT = 8;
+    private static final int MAX_UNSENT_ATTEMPTS = 8;
     private static final long DEADLINE_MARGIN_MILLIS = 5;
-    /** More than a replica makes in the half second in which it must notice. */
-    private static final int EVENTS_UNTIL_NOTICED = 30;
+    /** More events than a replica generates in the half second within which it must notice a cancellation. */
+    private static final int MAX_EVENTS_AFTER_CANCEL = 30;
 
     private final RequestServices services;
-    private final PlaceQueue places;
+    private final SlotQueue slots;
     private final HeaderFilter filter;
     private final RequestPlan plan;
     private final RequestLog log;
     private final CallerRequest request;
     private final AnswerWriter writer;
-    private final Runnable onOver;
+    private final Runnable onFinished;
     private final AnswerRelay relay;
     private final StreamTiming timing;
     private final Optional<Reservation> reservation;
     private final SuspectGuard.Watched suspect;
-    private final RequestDemand demand;
-    private final LinkShare link;
+    private final RequestDemand liveness;
+    private final LinkUsage linkUsage;
     private final BackendRequestBuilder builder;
     private final AttemptHistory attempts = new AttemptHistory();
     private TokenSource.@Nullable Pending pendingTokens;
-    private @Nullable AttemptRun run;
+    private @Nullable AttemptRun currentAttempt;
     private @Nullable Future<?> deadlineTimer;
     private Optional<PlacementForecast> forecast = Optional.empty();
-    private Duration retryAfter = RETRY_SOON;
-    private boolean over;
+    private Duration retryAfter = DEFAULT_RETRY_AFTER;
+    private boolean finished;
 
     DirectRequest(
             RequestServices services,
-            PlaceQueue places,
+            SlotQueue slots,
             HeaderFilter filter,
             RequestPlan plan,
             CallerRequest request,
             AnswerWriter writer,
-            Runnable onOver) {
+            Runnable onFinished) {
         this.services = services;
-        this.places = places;
+        this.slots = slots;
         this.filter = filter;
         this.plan = plan;
         this.log = new RequestLog(services.log(), plan);
         this.request = request;
         this.writer = writer;
-        this.onOver = onOver;
+        this.onFinished = onFinished;
         this.timing = new StreamTiming(services.clock(), request.arrivedMillis());
         this.relay = new AnswerRelay(
                 plan.route().stream(),
@@ -83,8 +83,8 @@
                 timing);
         this.reservation = Reservation.of(services.tokens(), plan.prepaidAccount(), plan.tokens());
         this.suspect = services.suspects().watch(request, plan.id(), plan.account());
-        this.demand = new RequestDemand(writer::callerPresent, plan.deadlineMillis());
-        this.link = new LinkShare(services.link(), services.clock(), request.body().length);
+        this.liveness = new RequestDemand(writer::callerPresent, plan.deadlineMillis());
+        this.linkUsage = new LinkUsage(services.link(), services.clock(), request.body().length);
         this.builder = new BackendRequestBuilder(services.names(), filter, request, plan);
     }
 
@@ -92,48 +92,51 @@
         services.fleet().retries(plan.service().name()).request(now());
         long left = Math.max(0, plan.deadlineMillis() - now() - DEADLINE_MARGIN_MILLIS);
         deadlineTimer = services.loop().schedule(this::onDeadline, left, TimeUnit.MILLISECONDS);
-        if (refusedAsSuspect() || endedAsUnwanted()) {
+        if (refusedAsSuspect() || endedAsNotLive()) {
             return;
         }
         if (reservation.isPresent()) {
             pendingTokens = reservation.get().reserve(this::onTokens);
         } else {
-            place();
+            placeOrQueue();
         }
     }
 
     private void onTokens(TokenSource.Outcome outcome) {
-        if (over) {
+        if (finished) {
             settle();
             return;
         }
         if (outcome == TokenSource.Outcome.RESERVED) {
-            place();
+            placeOrQueue();
         } else if (outcome == TokenSource.Outcome.EXHAUSTED) {
-            end(OwnAnswer.refusal(402, "prepaid_used_up"));
+            answerLocally(LocalAnswer.refusal(402, "prepaid_used_up"));
         } else {
-            end(OwnAnswer.later("no_tokens_leased", untilTokens()));
+            answerLocally(LocalAnswer.retryLater("no_tokens_leased", tokenRetryDelay()));
         }
     }
 
-    private Duration untilTokens() {
-        return withinTimeLeft(services.tokens().untilAvailable());
+    private Duration tokenRetryDelay() {
+        return capToTimeLeft(services.tokens().untilAvailable());
     }
 
-    /** Callers who would be told to wait for longer than they can come back sooner, perhaps to another entry. */
-    private Duration withinTimeLeft(Duration after) {
+    /**
+     * Caps a retry delay to a part of the time that the caller has left, so that a caller who can't wait for the whole
+     * delay retries sooner, perhaps at another entry.
+     */
+    private Duration capToTimeLeft(Duration after) {
         long left = plan.callerWaitMillis() - elapsed();
-        long longest = Math.max(0, left) / PARTS_OF_TIME_LEFT;
+        long longest = Math.max(0, left) / TIME_LEFT_DIVISOR;
         return Duration.ofMillis(Math.min(longest, after.toMillis()));
     }
 
-    private Duration spread() {
-        return Duration.ofMillis(services.random().nextInt(SPREAD_MILLIS));
+    private Duration retryJitter() {
+        return Duration.ofMillis(services.random().nextInt(MAX_RETRY_JITTER_MILLIS));
     }
 
-    private void place() {
+    private void placeOrQueue() {
         if (!tryPlace()) {
-            places.add(this);
+            slots.add(this);
         }
     }
 
@@ -144,50 +147,53 @@
 
     @Override
     public boolean tryPlace() {
-        if (over) {
+        if (finished) {
             return true;
         }
         if (refusedAsSuspect()) {
             return true;
         }
-        long linkClosed = link.closedMillis();
-        PlacementQuery query = plan.placement(services.failureDomain(), attempts.tried());
+        long linkBlockedMillis = linkUsage.closedMillis();
+        PlacementQuery query = plan.placement(services.failureDomain(), attempts.excludedReplicas());
         Optional<BackendInstance> chosen =
-                linkClosed > 0 ? Optional.empty() : services.fleet().choose(plan.service(), query);
+                linkBlockedMillis > 0 ? Optional.empty() : services.fleet().choose(plan.service(), query);
         if (chosen.isPresent()) {
-            if (!endedAsUnwanted()) {
+            if (!endedAsNotLive()) {
                 send(chosen.get(), query);
             }
             return true;
         }
-        Closure closure = linkClosed > 0
-                ? Closure.linkFull(linkClosed)
-                : services.fleet().closure(plan.service().name());
-        long closed = closure.millis();
+        ServiceUnavailability unavailability = linkBlockedMillis > 0
+                ? ServiceUnavailability.linkFull(linkBlockedMillis)
+                : services.fleet().unavailability(plan.service().name());
+        long unavailableMillis = unavailability.millis();
         WaitDecision decision =
-                places.decide(this, elapsed(), plan.route().targetLatency(), plan.deadlineMillis(), closed);
+                slots.decide(this, elapsed(), plan.route().targetLatency(), plan.deadlineMillis(), unavailableMillis);
         if (decision.waits()) {
             return false;
         }
-        retryAfter = closed == 0
+        retryAfter = unavailableMillis == 0
                 ? decision.retryAfter()
-                : withinTimeLeft(decision.retryAfter().plus(spread()));
-        conclude(attempts.lastEnd().orElseGet(() -> AttemptEnd.notRun(closure.reason())));
+                : capToTimeLeft(decision.retryAfter().plus(retryJitter()));
+        endWithoutSuccess(attempts.lastEnd().orElseGet(() -> AttemptEnd.notRun(unavailability.reason())));
         return true;
     }
 
-    /** Asked on arrival and before each attempt: what was learned since may forbid one that waits, or a retry. */
+    /**
+     * Refuses the request if it is blocked as a suspect. Called on arrival and before each attempt, since the request
+     * can become blocked while it waits or before it is retried.
+     */
     private boolean refusedAsSuspect() {
-        Optional<Duration> refused = suspect.refusedFor();
+        Optional<Duration> refused = suspect.refusalRetryAfter();
         refused.ifPresent(after -> {
             retryAfter = after;
-            conclude(AttemptEnd.notRun(CRASHES_SERVERS));
+            endWithoutSuccess(AttemptEnd.notRun(CRASHES_SERVERS));
         });
         return refused.isPresent();
     }
 
-    private boolean endedAsUnwanted() {
-        RequestDemand.Verdict verdict = demand.at(now());
+    private boolean endedAsNotLive() {
+        RequestDemand.Verdict verdict = liveness.at(now());
         if (verdict == RequestDemand.Verdict.CALLER_GONE) {
             callerGone();
         } else if (verdict == RequestDemand.Verdict.NO_TIME) {
@@ -199,162 +205,165 @@
     private void send(BackendInstance instance, PlacementQuery query) {
         attempts.chosen(instance);
         suspect.sent();
-        link.taken();
-        run = new AttemptRun(services, plan, instance, relay, this);
-        run.begin(builder.build(instance, plan.callerWaitMillis() - elapsed(), relay.lastEventId()), query);
-        forecast = run.forecast();
+        linkUsage.acquire();
+        currentAttempt = new AttemptRun(services, plan, instance, relay, this);
+        currentAttempt.begin(builder.build(instance, plan.callerWaitMillis() - elapsed(), relay.lastEventId()), query);
+        forecast = currentAttempt.forecast();
     }
 
     @Override
-    public boolean stillWanted() {
-        return demand.at(now()) == RequestDemand.Verdict.WANTED;
+    public boolean isStillLive() {
+        return liveness.at(now()) == RequestDemand.Verdict.WANTED;
     }
 
     @Override
     public void attemptSent() {
         attempts.sent();
-        reservation.ifPresent(Reservation::ran);
+        reservation.ifPresent(Reservation::markMayHaveRun);
     }
 
     @Override
-    public void handedOut(int events) {
+    public void eventsDelivered(int events) {
         reservation.ifPresent(
-                each -> each.handedOut((long) events * plan.service().tokensPerEvent()));
+                each -> each.addAnswerTokens((long) events * plan.service().tokensPerEvent()));
     }
 
     @Override
     public void attemptEnded(AttemptEnd end) {
-        if (over) {
+        if (finished) {
             return;
         }
         attempts.ended(end);
-        run = null;
+        currentAttempt = null;
         if (end.unsent()) {
-            link.givenBack();
+            linkUsage.release();
         }
         suspect.ended();
-        places.freed();
-        logAttempt(end);
+        slots.slotReleased();
+        logFailedAttempt(end);
         if (end.kind() == AttemptEnd.Kind.WHOLE) {
             suspect.answered();
-            finish("answered", 200);
+            complete("answered", 200);
         } else if (end.unsent()) {
-            findAnotherOrConclude(end);
+            placeAgainOrEnd(end);
         } else if (end.kind() == AttemptEnd.Kind.NOT_RUN) {
-            retryOrConclude(end, true);
+            retryOrEnd(end, true);
         } else {
             afterPossibleRun(end);
         }
     }
 
-    private void findAnotherOrConclude(AttemptEnd end) {
-        if (attempts.unsent() <= MAX_UNSENT && demand.hasTime(now())) {
-            place();
+    private void placeAgainOrEnd(AttemptEnd end) {
+        if (attempts.unsent() <= MAX_UNSENT_ATTEMPTS && liveness.hasTime(now())) {
+            placeOrQueue();
         } else {
-            conclude(end);
+            endWithoutSuccess(end);
         }
     }
 
     private void afterPossibleRun(AttemptEnd end) {
         if (end.kind() != AttemptEnd.Kind.FAILED) {
-            reservation.ifPresent(Reservation::useUnknown);
+            reservation.ifPresent(Reservation::markUsageUnknown);
         }
         if (end.kind() == AttemptEnd.Kind.BROKEN) {
-            attempts.newest()
-                    .ifPresent(
-                            server -> suspect.brokeOff(server, services.fleet().pool(server)));
+            attempts.lastReplica()
+                    .ifPresent(server ->
+                            suspect.attemptBroken(server, services.fleet().pool(server)));
         }
-        retryOrConclude(end, plan.route().repeatable());
+        retryOrEnd(end, plan.route().repeatable());
     }
 
-    private void retryOrConclude(AttemptEnd end, boolean allowed) {
+    private void retryOrEnd(AttemptEnd end, boolean allowed) {
         if (allowed && refusedAsSuspect()) {
             return;
         }
         boolean retry = allowed
                 && attempts.attempts() < plan.route().maxAttempts()
-                && demand.hasTime(now())
+                && liveness.hasTime(now())
                 && services.fleet().tryRetry(plan.service().name());
         if (retry) {
-            place();
+            placeOrQueue();
         } else {
-            conclude(end);
+            endWithoutSuccess(end);
         }
     }
 
-    /** Ends without a success. */
-    private void conclude(AttemptEnd end) {
-        if (relay.begun()) {
-            over("aborted", 0);
+    /** Ends the request without success. */
+    private void endWithoutSuccess(AttemptEnd end) {
+        if (relay.started()) {
+            terminate("aborted", 0);
             writer.abort();
             return;
         }
-        if (end.answer().isPresent() && end.answer().get().passable()) {
+        if (end.answer().isPresent() && end.answer().get().forwardable()) {
             BufferedAnswer answer = end.answer().get();
-            over("failure_passed_on", answer.head().status());
+            terminate("failure_passed_on", answer.head().status());
             writer.whole(answer.head().status(), filter.forCaller(answer.head().headers()), answer.body());
             return;
         }
-        end(attempts.mayHaveRun() ? OwnAnswer.unknown(502, end.reason()) : OwnAnswer.later(end.reason(), retryAfter));
+        answerLocally(
+                attempts.mayHaveRun()
+                        ? LocalAnswer.outcomeUnknown(502, end.reason())
+                        : LocalAnswer.retryLater(end.reason(), retryAfter));
     }
 
     private void onDeadline() {
-        if (over) {
+        if (finished) {
             return;
         }
-        AttemptRun running = run;
-        if (running != null) {
-            attempts.givenUp(running.sent());
-            giveUp(running);
+        AttemptRun attempt = currentAttempt;
+        if (attempt != null) {
+            attempts.cancelled(attempt.sent());
+            cancelAttempt(attempt);
         }
-        if (relay.begun()) {
-            over("deadline_in_stream", 0);
+        if (relay.started()) {
+            terminate("deadline_in_stream", 0);
             writer.abort();
             return;
         }
-        end(
+        answerLocally(
                 attempts.mayHaveRun()
-                        ? OwnAnswer.unknown(504, "deadline")
-                        : OwnAnswer.later("deadline_not_run", RETRY_SOON));
+                        ? LocalAnswer.outcomeUnknown(504, "deadline")
+                        : LocalAnswer.retryLater("deadline_not_run", DEFAULT_RETRY_AFTER));
     }
 
     @Override
     public void callerGone() {
-        if (over) {
+        if (finished) {
             return;
         }
-        AttemptRun running = run;
-        if (running != null) {
-            giveUp(running);
+        AttemptRun attempt = currentAttempt;
+        if (attempt != null) {
+            cancelAttempt(attempt);
         }
-        over("caller_gone", 0);
+        terminate("caller_gone", 0);
     }
 
-    private void giveUp(AttemptRun running) {
-        if (!running.sent()) {
-            link.givenBack();
+    private void cancelAttempt(AttemptRun attempt) {
+        if (!attempt.sent()) {
+            linkUsage.release();
         }
-        running.cancel();
+        attempt.cancel();
         suspect.ended();
-        places.freed();
-        reservation.ifPresent(
-                each -> each.givenUp(EVENTS_UNTIL_NOTICED, plan.service().tokensPerEvent()));
+        slots.slotReleased();
+        reservation.ifPresent(each ->
+                each.addCancelledEvents(MAX_EVENTS_AFTER_CANCEL, plan.service().tokensPerEvent()));
     }
 
     @Override
     public void writabilityChanged(boolean writable) {
-        if (run != null) {
-            run.pauseReading(!writable);
+        if (currentAttempt != null) {
+            currentAttempt.pauseReading(!writable);
         }
     }
 
-    private void finish(String outcome, int status) {
-        over(outcome, status);
+    private void complete(String outcome, int status) {
+        terminate(outcome, status);
         relay.end();
     }
 
-    private void end(OwnAnswer answer) {
-        over(answer.reason(), answer.status());
+    private void answerLocally(LocalAnswer answer) {
+        terminate(answer.reason(), answer.status());
         answer.write(writer, services.names(), plan.id());
     }
 
@@ -363,13 +372,13 @@
     }
 
     /**
-     * Ends, before tokens and places are given back: those let other requests go on at once, and what these free may
-     * call this one again, which would then be answered twice.
+     * Marks the request as finished before it releases its tokens and its slot. Releasing them resumes other requests
+     * synchronously, and what those release may call back into this request, which would then be answered twice.
      */
-    private void over(String outcome, int status) {
-        over = true;
-        onOver.run();
-        places.remove(this);
+    private void terminate(String outcome, int status) {
+        finished = true;
+        onFinished.run();
+        slots.remove(this);
         if (pendingTokens != null) {
             pendingTokens.cancel();
         }
@@ -378,25 +387,25 @@
         }
         settle();
         services.metrics().requestEnded(outcome, plan.rank(), elapsed());
-        log.ended(outcome, status, course());
-        places.poke();
+        log.ended(outcome, status, summary());
+        slots.retryWaiting();
     }
 
-    private void logAttempt(AttemptEnd end) {
+    private void logFailedAttempt(AttemptEnd end) {
         if (end.kind() == AttemptEnd.Kind.WHOLE) {
             return;
         }
         services.metrics().attemptFailed(end.kind().name());
-        log.attemptFailed(end, attempts.newestId(), suspect.digest(), elapsed());
+        log.attemptFailed(end, attempts.lastReplicaId(), suspect.digest(), elapsed());
     }
 
-    private RequestLog.Course course() {
+    private RequestLog.Summary summary() {
         long tokens = reservation.map(Reservation::used).orElse(0L);
-        return new RequestLog.Course(
+        return new RequestLog.Summary(
                 attempts.attempts(),
                 attempts.unsent(),
                 tokens,
-                attempts.newestId(),
+                attempts.lastReplicaId(),
                 forecast,
                 timing,
                 sinceSentMillis(),
@@ -404,7 +413,7 @@
     }
 
     private OptionalLong sinceSentMillis() {
-        OptionalLong sent = run == null ? OptionalLong.empty() : run.sentMillis();
+        OptionalLong sent = currentAttempt == null ? OptionalLong.empty() : currentAttempt.sentMillis();
         return sent.isPresent() ? OptionalLong.of(now() - sent.getAsLong()) : sent;
     }
 
--- a/direct/src/main/java/org/streamring/direct/request/EventSplitter.java
+++ b/direct/src/main/java/org/streamring/direct/request/EventSplitter.java
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Cuts the bytes of an event stream into whole events; a part of an event is kept until the rest comes. */
+/** Splits the bytes of an event stream into complete events; an incomplete event is buffered until the rest arrives. */
 final class EventSplitter {
     private static final String ID_FIELD = "id:";
 
     private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param bytes the event with the empty line that ends it
-     * @param id its identifier, if it has one
+     * @param bytes bytes of the event, including the empty line that ends it
+     * @param id identifier of the event, if it has one
      */
-    @SuppressWarnings("ArrayRecordComponent") // bytes are handed on, not copied
+    @SuppressWarnings("ArrayRecordComponent") // the array is passed on without being copied
     record Event(byte[] bytes, Optional<String> id) {}
 
-    /** Takes bytes; returns the events that are whole now. */
+    /** Adds received bytes; returns the events that are now complete. */
     List<Event> add(byte[] data) {
         partial.writeBytes(data);
         byte[] all = partial.toByteArray();
@@ -40,7 +40,7 @@
         return events;
     }
 
-    /** Whether a part of an event waits for its rest. */
+    /** Whether an incomplete event is buffered. */
     boolean hasPartial() {
         return partial.size() > 0;
     }
@@ -50,8 +50,8 @@
             if (bytes[i] == '\n' && bytes[i + 1] == '\n') {
                 return i + 2;
             }
-            boolean carriage = i + 2 < bytes.length && bytes[i + 1] == '\r' && bytes[i + 2] == '\n';
-            if (bytes[i] == '\n' && carriage) {
+            boolean crLf = i + 2 < bytes.length && bytes[i + 1] == '\r' && bytes[i + 2] == '\n';
+            if (bytes[i] == '\n' && crLf) {
                 return i + 3;
             }
         }
--- a/direct/src/main/java/org/streamring/direct/request/Fleet.java
+++ b/direct/src/main/java/org/streamring/direct/request/Fleet.java
@@ -33,13 +33,13 @@
 import org.streamring.platform.node.ForwardingHeaders;
 import org.streamring.platform.node.NodeSettings;
 
-/** The backend servers as this entry uses them: connections, load, health and retries. Confined to the event loop. */
+/** Backend servers from the view of this entry: connections, load, health and retries. Confined to the event loop. */
 public final class Fleet {
-    /** An answer with one of these says nothing of how the replica serves. */
-    private static final Set<Integer> TURNED_AWAY = Set.of(421, 429, 503);
+    /** Statuses by which a replica rejects a request; they are no evidence of whether it serves requests properly. */
+    private static final Set<Integer> REJECTION_STATUSES = Set.of(421, 429, 503);
 
-    /** A process that is not the one asked for answers so; what it says of a limit is not that one's word. */
-    private static final int ANOTHER_INCARNATION = 421;
+    /** Status sent by a process other than the requested incarnation; a limit in such an answer is ignored. */
+    private static final int MISDIRECTED_STATUS = 421;
 
     private final EventLoop loop;
     private final BackendRegistry registry;
@@ -48,7 +48,7 @@
     private final PermitDesk permits;
     private final LimitedBackends limits;
     private final ColdReplicas cold;
-    private final OwnLateness lateness = new OwnLateness();
+    private final OwnLateness boxDelay = new OwnLateness();
     private final ForwardingHeaders headers;
     private final LongSupplier clock;
     private final IntSupplier entries;
@@ -57,7 +57,7 @@
     private final Map<Destination, BackendPool> pools = new HashMap<>();
     private final Map<String, FleetRetryBudget> retries = new HashMap<>();
 
-    /** Where connections lead to: another process at the address, or another address, has connections of its own. */
+    /** Target of pooled connections: each process (incarnation) and each address has its own pool. */
     private record Destination(String incarnation, String host, int port) {
         static Destination of(BackendInstance instance) {
             return new Destination(instance.incarnation(), instance.host(), instance.port());
@@ -69,13 +69,13 @@
     }
 
     /**
-     * Creates one without connections.
+     * Creates a fleet without connections.
      *
-     * @param availability which replicas may be sent to
-     * @param permits what replicas that name a limit for all entries together take from this one
+     * @param availability which replicas accept requests
+     * @param permits permits of this entry for replicas that announce a limit for all entries together
      * @param cold which replicas are cold
      * @param entries number of live entries
-     * @param coldMargin what a cold replica bears beyond its rate
+     * @param coldMargin requests that a cold replica tolerates above its rate
      */
     public Fleet(
             EventLoop loop,
@@ -103,13 +103,16 @@
         this.retryLimit = retryLimit;
     }
 
-    /** Chooses a replica of a service; one that leaves only where all others leave or rest. */
+    /**
+     * Chooses a replica of a service. A replica that is shutting down is chosen only if all others are shutting down or
+     * backing off.
+     */
     Optional<BackendInstance> choose(ServiceTraits service, PlacementQuery query) {
         long now = clock.getAsLong();
         ColdLimit limit = limit(service);
-        List<BackendInstance> open = open(service.name(), now);
-        open.forEach(instance -> permits.wanted(instance.incarnation(), now));
-        List<BackendInstance> ready = open.stream()
+        List<BackendInstance> accepting = acceptingInstances(service.name(), now);
+        accepting.forEach(instance -> permits.wanted(instance.incarnation(), now));
+        List<BackendInstance> ready = accepting.stream()
                 .filter(instance -> limits.takes(instance.incarnation(), now))
                 .filter(instance -> cold.takes(instance.id(), limit, now))
                 .toList();
@@ -121,42 +124,42 @@
                 .or(() -> placement.choose(query, service, ready, entries.getAsInt(), now));
     }
 
-    private List<BackendInstance> open(String service, long now) {
-        List<BackendInstance> known = registry.inService(service);
-        List<BackendInstance> open = known.stream()
+    private List<BackendInstance> acceptingInstances(String service, long now) {
+        List<BackendInstance> instances = registry.inService(service);
+        List<BackendInstance> accepting = instances.stream()
                 .filter(instance -> availability.takes(instance.incarnation(), now))
                 .toList();
-        if (!open.isEmpty()) {
-            return open;
+        if (!accepting.isEmpty()) {
+            return accepting;
         }
-        return known.stream()
+        return instances.stream()
                 .filter(instance -> availability.takesAsLast(instance.incarnation(), now))
                 .toList();
     }
 
-    /** Whether a replica of a service may be asked at all, by what they said of themselves. */
-    Closure closure(String service) {
+    /** Returns for how long the replicas of a service accept no requests, according to their own notices. */
+    ServiceUnavailability unavailability(String service) {
         long now = clock.getAsLong();
-        List<BackendInstance> known = registry.inService(service);
-        List<BackendInstance> open = open(service, now);
-        if (!open.isEmpty()) {
-            long turn = open.stream()
+        List<BackendInstance> instances = registry.inService(service);
+        List<BackendInstance> accepting = acceptingInstances(service, now);
+        if (!accepting.isEmpty()) {
+            long limitedMillis = accepting.stream()
                     .mapToLong(instance -> limits.turnMillis(instance.incarnation(), now))
                     .min()
                     .getAsLong();
-            return turn == 0 ? Closure.OPEN : Closure.limited(turn);
+            return limitedMillis == 0 ? ServiceUnavailability.AVAILABLE : ServiceUnavailability.limited(limitedMillis);
         }
-        if (known.isEmpty()) {
-            return Closure.OPEN;
+        if (instances.isEmpty()) {
+            return ServiceUnavailability.AVAILABLE;
         }
-        return Closure.resting(known.stream()
+        return ServiceUnavailability.backingOff(instances.stream()
                 .filter(registry::stays)
                 .mapToLong(instance -> availability.restLeftMillis(instance.incarnation(), now))
                 .min()
                 .orElse(WaitQuery.NEVER));
     }
 
-    /** What is asked before a request is sent that is placed at a replica now. */
+    /** Returns the check to make before a request that is placed at a replica now is sent. */
     SendCheck sendCheck(BackendInstance instance) {
         return new SendCheck(availability, limits, clock, instance.incarnation());
     }
@@ -166,24 +169,24 @@
         return new ColdLimit(perSecond, coldMargin.get().mostInSecond(perSecond));
     }
 
-    /** Notes that a request begins at a replica. */
+    /** Records that a request was placed at a replica. */
     PlacedPrompt started(PlacementQuery query, ServiceTraits service, BackendInstance instance) {
         cold.placed(instance.id(), clock.getAsLong());
         availability.placed(instance.incarnation(), clock.getAsLong());
         return placement.started(query, service, instance, clock.getAsLong());
     }
 
-    /** Load and health of a replica. */
+    /** Returns the load and health of a replica. */
     ReplicaState state(BackendInstance instance) {
         return placement.state(instance.id());
     }
 
-    /** Where requests run, for the exchange with other entries. */
+    /** Returns the placement of running requests, for the exchange with other entries. */
     public PlacementTable placement() {
         return placement;
     }
 
-    /** Connections to a replica. */
+    /** Returns the connection pool of a replica. */
     BackendPool pool(BackendInstance instance) {
         return pools.computeIfAbsent(
                 Destination.of(instance),
@@ -192,25 +195,25 @@
                         destination.address(),
                         headers,
                         clock,
-                        took -> lateness.connecting(instance.id(), took, clock.getAsLong()),
+                        took -> boxDelay.connecting(instance.id(), took, clock.getAsLong()),
                         (status, notice, limit, sentMillis) ->
                                 answered(destination.incarnation(), status, notice, limit, sentMillis)));
     }
 
     private void answered(String incarnation, int status, BackendNotice notice, LimitWord limit, long sentMillis) {
         long now = clock.getAsLong();
-        availability.answered(incarnation, TURNED_AWAY.contains(status), notice, now);
-        if (status != ANOTHER_INCARNATION) {
+        availability.answered(incarnation, REJECTION_STATUSES.contains(status), notice, now);
+        if (status != MISDIRECTED_STATUS) {
             permits.answered(incarnation, limit, sentMillis, now);
         }
     }
 
-    /** Whether this box itself is late, so that what takes long is not the replicas' fault. */
-    boolean ownBoxLate() {
-        return lateness.late(clock.getAsLong());
+    /** Whether this box itself is delayed, so that slow connections are not counted against the replicas. */
+    boolean isLocalBoxDelayed() {
+        return boxDelay.late(clock.getAsLong());
     }
 
-    /** The limit on retries at a service. */
+    /** Returns the retry budget of a service. */
     FleetRetryBudget retries(String service) {
         return retries.computeIfAbsent(
                 service,
@@ -220,33 +223,33 @@
                         retryLimit.get().window().toMillis()));
     }
 
-    /** Takes leave for one retry at a service. */
+    /** Takes one retry from the budget of a service; returns false if the budget allows none. */
     boolean tryRetry(String service) {
         return retries(service).tryRetry(clock.getAsLong(), entries.getAsInt());
     }
 
     /**
-     * Closes idle connections to all replicas that were last used by then. Connections mostly fall silent together;
-     * tried one after the other, each would cost a request a second.
+     * Closes the idle connections to all replicas that were last used at or before a time. Connections mostly fall
+     * silent at the same time; if they were tried one after the other, each would delay a request by a second.
      */
-    void distrustIdle(long millis) {
-        pools.values().forEach(pool -> pool.closeIdleUnheardSince(millis));
+    void closeIdleLastUsedBy(long lastUsedMillis) {
+        pools.values().forEach(pool -> pool.closeIdleUnheardSince(lastUsedMillis));
     }
 
-    /** Drops what belongs to replicas that are gone, and idle connections that rested too long. */
+    /** Drops the state of replicas that no longer exist, and connections that were idle for too long. */
     public void tidy() {
-        Set<String> known = new HashSet<>();
+        Set<String> ids = new HashSet<>();
         Set<String> incarnations = new HashSet<>();
         Set<Destination> staying = new HashSet<>();
         for (BackendInstance instance : registry.all()) {
-            known.add(instance.id());
+            ids.add(instance.id());
             incarnations.add(instance.incarnation());
             if (registry.stays(instance)) {
                 staying.add(Destination.of(instance));
             }
         }
-        placement.keepOnly(known);
-        cold.keepOnly(known);
+        placement.keepOnly(ids);
+        cold.keepOnly(ids);
         availability.forgetGone(incarnations, clock.getAsLong());
         permits.forgetGone(incarnations, clock.getAsLong());
         pools.entrySet().removeIf(entry -> {
--- a/direct/src/main/java/org/streamring/direct/request/HeaderFilter.java
+++ b/direct/src/main/java/org/streamring/direct/request/HeaderFilter.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.streamring.platform.node.ForwardingHeaders;
 
-/** Decides which headers go on to the other side. */
+/** Selects the headers to forward to the backend server or to the caller. */
 final class HeaderFilter {
-    private static final Set<String> ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -31,9 +31,9 @@
         names.reserved().forEach(name -> reserved.add(name.toLowerCase(Locale.ROOT)));
     }
 
-    /** Headers of a caller's request that go to the backend server. */
+    /** Returns the headers of a caller's request that are forwarded to the backend server. */
     HttpHeaders forBackend(HttpHeaders from, boolean withoutKey) {
-        HttpHeaders kept = withoutConnectionHeaders(from);
+        HttpHeaders kept = withoutHopByHopHeaders(from);
         reserved.forEach(kept::remove);
         if (withoutKey) {
             kept.remove("authorization");
@@ -41,15 +41,15 @@
         return kept;
     }
 
-    /** Headers of a backend server's answer that go to the caller. */
+    /** Returns the headers of a backend server's answer that are forwarded to the caller. */
     HttpHeaders forCaller(HttpHeaders from) {
-        HttpHeaders kept = withoutConnectionHeaders(from);
+        HttpHeaders kept = withoutHopByHopHeaders(from);
         kept.remove(names.notRun());
         return kept;
     }
 
-    private static HttpHeaders withoutConnectionHeaders(HttpHeaders from) {
-        Set<String> dropped = new HashSet<>(ONE_CONNECTION);
+    private static HttpHeaders withoutHopByHopHeaders(HttpHeaders from) {
+        Set<String> dropped = new HashSet<>(HOP_BY_HOP_HEADERS);
         for (String value : from.getAll("connection")) {
             for (String named : value.split(",", -1)) {
                 dropped.add(named.trim().toLowerCase(Locale.ROOT));
--- a/direct/src/main/java/org/streamring/direct/request/LimitLog.java
+++ b/direct/src/main/java/org/streamring/direct/request/LimitLog.java
@@ -4,12 +4,12 @@
 import org.streamring.direct.metrics.EntryMetrics;
 import org.streamring.kernel.permit.LimitEvents;
 
-/** Logs which limits backend servers name for all entries together. */
+/** Logs the limits that backend servers announce for all entries together. */
 public final class LimitLog implements LimitEvents {
     private final DecisionLog log;
     private final EntryMetrics metrics;
 
-    /** Creates one. */
+    /** Creates a listener that writes to a log and counts unreadable limits. */
     public LimitLog(DecisionLog log, EntryMetrics metrics) {
         this.log = log;
         this.metrics = metrics;
--- a/direct/src/main/java/org/streamring/direct/request/OwnAnswer.java
+++ b/direct/src/main/java/org/streamring/direct/request/LocalAnswer.java
@@ -11,31 +11,31 @@
 import org.streamring.platform.node.ForwardingHeaders;
 
 /**
- * A final answer of the entry's own.
+ * A final answer that the entry generates itself instead of passing on one of a backend server.
  *
  * @param status HTTP status
  * @param reason short name of the cause, for the caller and the log
- * @param retryAfter when asking again helps
+ * @param retryAfter time after which the caller may retry; empty if a retry is not suggested
  */
-public record OwnAnswer(int status, String reason, Optional<Duration> retryAfter) {
-    private static final double MILLIS = 1_000;
+public record LocalAnswer(int status, String reason, Optional<Duration> retryAfter) {
+    private static final double MILLIS_PER_SECOND = 1_000;
 
-    /** A refusal for good. */
-    public static OwnAnswer refusal(int status, String reason) {
-        return new OwnAnswer(status, reason, Optional.empty());
+    /** Returns a permanent refusal. */
+    public static LocalAnswer refusal(int status, String reason) {
+        return new LocalAnswer(status, reason, Optional.empty());
     }
 
-    /** The request has not run; it may be sent again after a while. */
-    public static OwnAnswer later(String reason, Duration after) {
-        return new OwnAnswer(503, reason, Optional.of(after));
+    /** Returns a 503 answer to a request that has not run and may be retried after a delay. */
+    public static LocalAnswer retryLater(String reason, Duration after) {
+        return new LocalAnswer(503, reason, Optional.of(after));
     }
 
-    /** The request may have run. */
-    public static OwnAnswer unknown(int status, String reason) {
-        return new OwnAnswer(status, reason, Optional.empty());
+    /** Returns an answer to a request that may have run. */
+    public static LocalAnswer outcomeUnknown(int status, String reason) {
+        return new LocalAnswer(status, reason, Optional.empty());
     }
 
-    /** Writes the answer. */
+    /** Sends the answer to the caller. */
     public void write(AnswerWriter writer, ForwardingHeaders names, String requestId) {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, "application/json");
@@ -43,7 +43,7 @@
             headers.set(names.requestId(), requestId);
         }
         retryAfter.ifPresent(after -> headers.set(
-                HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", after.toMillis() / MILLIS)));
+                HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", after.toMillis() / MILLIS_PER_SECOND)));
         writer.whole(status, headers, ("{\"error\":\"" + reason + "\"}\n").getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/NoticeLog.java
+++ b/direct/src/main/java/org/streamring/direct/request/NoticeLog.java
@@ -5,11 +5,11 @@
 import org.streamring.kernel.availability.AvailabilityEvents;
 import org.streamring.kernel.availability.NoticeSource;
 
-/** Logs what is believed of backend servers by what they said of themselves. */
+/** Logs changes of the availability that backend servers announce for themselves. */
 public final class NoticeLog implements AvailabilityEvents {
     private final DecisionLog log;
 
-    /** Creates one. */
+    /** Creates a listener that writes to a log. */
     public NoticeLog(DecisionLog log) {
         this.log = log;
     }
--- a/direct/src/main/java/org/streamring/direct/request/PromptHeader.java
+++ b/direct/src/main/java/org/streamring/direct/request/PromptHeader.java
@@ -9,19 +9,26 @@
 import org.streamring.kernel.placement.PromptPart;
 import org.streamring.platform.node.ForwardingHeaders;
 
-/** Reads a prompt from its headers; its parts stand in one, identifier and length of each, joined by commas. */
+/**
+ * Reads the description of a prompt from the headers.
+ *
+ * <p>One header lists the parts of the prompt as comma-separated {@code id:tokens} pairs.
+ */
 final class PromptHeader {
     private PromptHeader() {}
 
-    /** The prompt of a request; parts from the first malformed one on are passed over, as they only save reading. */
-    static Prompt read(HttpHeaders headers, ForwardingHeaders names, Optional<TokenUse> tokens) {
+    /**
+     * Returns the prompt of a request. The first malformed part and all parts after it are ignored, as parts are used
+     * only to save prompt processing.
+     */
+    static Prompt read(HttpHeaders headers, ForwardingHeaders names, Optional<DeclaredTokens> tokens) {
         if (tokens.isEmpty()) {
             return Prompt.NONE;
         }
-        TokenUse use = tokens.get();
+        DeclaredTokens declared = tokens.get();
         List<PromptPart> parts = parts(headers.get(names.promptParts(), ""));
-        long hint = tokens(headers.get(names.lengthHint(), "")).orElse(use.mostAnswer());
-        return new Prompt(parts, use.prompt(), use.mostAnswer(), Math.min(hint, use.mostAnswer()));
+        long hint = tokens(headers.get(names.lengthHint(), "")).orElse(declared.maxAnswer());
+        return new Prompt(parts, declared.prompt(), declared.maxAnswer(), Math.min(hint, declared.maxAnswer()));
     }
 
     private static List<PromptPart> parts(String header) {
--- a/direct/src/main/java/org/streamring/direct/request/RequestDigests.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestDigests.java
@@ -8,21 +8,21 @@
 import org.streamring.kernel.suspect.RequestDigester;
 import org.streamring.model.route.PrepaidAccount;
 
-/** Digests of callers' requests, once the secret for them is known. Confined to the event loop. */
+/** Computes digests of callers' requests as soon as the secret for them was read. Confined to the event loop. */
 public final class RequestDigests {
     private final Supplier<Optional<byte[]>> secret;
     private @Nullable RequestDigester digester;
 
     /**
-     * Creates one.
+     * Creates a source of digests.
      *
-     * @param secret what all entries share; empty until it was read
+     * @param secret secret shared by all entries; empty until it was read
      */
     public RequestDigests(Supplier<Optional<byte[]>> secret) {
         this.secret = secret;
     }
 
-    /** Digest of a request; empty while the secret is not known. */
+    /** Returns the digest of a request; empty until the secret was read. */
     Optional<RequestDigest> of(CallerRequest request, Optional<PrepaidAccount> account) {
         if (digester == null) {
             digester = secret.get().map(RequestDigester::new).orElse(null);
--- a/direct/src/main/java/org/streamring/direct/request/RequestLog.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestLog.java
@@ -5,24 +5,25 @@
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.kernel.placement.PlacementForecast;
 
-/** Logs what became of one request. Confined to the event loop. */
+/** Logs failed attempts and the outcome of one request. Confined to the event loop. */
 final class RequestLog {
     private final DecisionLog log;
     private final RequestPlan plan;
 
     /**
-     * What a request used until its final answer.
+     * Attempts, usage and timing of a request up to its final answer.
      *
-     * @param attempts attempts that may have reached a replica
-     * @param unsent attempts of which no byte was sent
+     * @param attempts number of attempts that may have reached a replica
+     * @param unsent number of attempts for which no byte was sent
      * @param tokens prepaid tokens used
-     * @param replica the last one tried; empty if none was
-     * @param forecast what was expected of the last attempt
-     * @param timing when its events came
-     * @param sinceSentMillis time since the attempt in progress was written; empty if none is, or it is not written
-     * @param millis time since its arrival
+     * @param replica identifier of the last replica tried; empty if none was tried
+     * @param forecast forecast for the last attempt
+     * @param timing timing of the events passed on
+     * @param sinceSentMillis milliseconds since the attempt in progress was written to its connection; empty if no
+     *     attempt is in progress or it was not written yet
+     * @param millis milliseconds since the arrival of the request
      */
-    record Course(
+    record Summary(
             int attempts,
             int unsent,
             long tokens,
@@ -38,10 +39,10 @@
     }
 
     /**
-     * Logs an attempt without a success.
+     * Logs an attempt that did not succeed.
      *
-     * @param replica where it was tried
-     * @param digest what the request is known by when it comes again; empty if it can't be computed yet
+     * @param replica identifier of the replica that was tried
+     * @param digest digest by which a repetition of the request is recognized; empty if it can't be computed yet
      */
     void attemptFailed(AttemptEnd end, String replica, String digest, long millis) {
         log.line(
@@ -62,8 +63,8 @@
                 millis);
     }
 
-    void ended(String outcome, int status, Course course) {
-        Optional<PlacementForecast> forecast = course.forecast();
+    void ended(String outcome, int status, Summary summary) {
+        Optional<PlacementForecast> forecast = summary.forecast();
         log.line(
                 "request_ended",
                 "request",
@@ -79,15 +80,15 @@
                 "status",
                 status,
                 "attempts",
-                course.attempts(),
+                summary.attempts(),
                 "unsent",
-                course.unsent(),
+                summary.unsent(),
                 "tokens_used",
-                course.tokens(),
+                summary.tokens(),
                 "tokens_at_most",
-                plan.tokens().map(TokenUse::most).orElse(0L),
+                plan.tokens().map(DeclaredTokens::maxTotal).orElse(0L),
                 "replica",
-                course.replica(),
+                summary.replica(),
                 "tokens_to_read",
                 forecast.map(PlacementForecast::tokensToRead).orElse(0L),
                 "unread_before",
@@ -95,12 +96,12 @@
                 "forecast_ms",
                 forecast.map(PlacementForecast::firstEventMillis).orElse(0L),
                 "first_event_ms",
-                course.timing().firstEventMillis().orElse(-1),
+                summary.timing().firstEventMillis().orElse(-1),
                 "longest_pause_ms",
-                course.timing().longestPauseMillis(),
+                summary.timing().longestPauseMillis(),
                 "since_sent_ms",
-                course.sinceSentMillis().orElse(-1),
+                summary.sinceSentMillis().orElse(-1),
                 "ms",
-                course.millis());
+                summary.millis());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/RequestPlan.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestPlan.java
@@ -11,17 +11,17 @@
 import org.streamring.platform.node.ForwardingHeaders;
 
 /**
- * What is decided about a request when it arrives.
+ * Properties of a request that are determined on its arrival.
  *
  * @param id identifier given by the caller
- * @param route its route
- * @param service its service
- * @param account its client account, if the route asks for a key
+ * @param route route of the request
+ * @param service service of the request
+ * @param account client account, if the route requires a key
  * @param rank urgency, 0 being the most urgent
- * @param tokens tokens that its caller declares
- * @param prompt its prompt; {@link Prompt#NONE} for a plain request
- * @param deadlineMillis when it must have its final answer, on the process's steady clock
- * @param callerWaitMillis how long the caller waits, from the arrival
+ * @param tokens token counts that the caller declares
+ * @param prompt prompt of the request; {@link Prompt#NONE} for a plain request
+ * @param deadlineMillis deadline of the final answer, on the process's monotonic clock
+ * @param callerWaitMillis milliseconds that the caller waits, from the arrival
  */
 record RequestPlan(
         String id,
@@ -29,7 +29,7 @@
         ServiceTraits service,
         Optional<PrepaidAccount> account,
         int rank,
-        Optional<TokenUse> tokens,
+        Optional<DeclaredTokens> tokens,
         Prompt prompt,
         long deadlineMillis,
         long callerWaitMillis) {
@@ -42,13 +42,13 @@
             ForwardingHeaders names) {
         String id =
                 Optional.ofNullable(request.headers().get(names.requestId())).orElse("");
-        long wait = callerWait(request, route, names);
-        long held = Math.min(wait, route.timeout().toMillis());
+        long waitMillis = callerWait(request, route, names);
+        long timeoutMillis = Math.min(waitMillis, route.timeout().toMillis());
         int rank = account.map(PrepaidAccount::priority)
                 .filter(java.util.OptionalInt::isPresent)
                 .map(java.util.OptionalInt::getAsInt)
                 .orElse(route.priority());
-        Optional<TokenUse> tokens = TokenUse.parse(request.headers().get(names.tokens()));
+        Optional<DeclaredTokens> tokens = DeclaredTokens.parse(request.headers().get(names.tokens()));
         return new RequestPlan(
                 id,
                 route,
@@ -57,8 +57,8 @@
                 Math.max(0, Math.min(9, rank)),
                 tokens,
                 PromptHeader.read(request.headers(), names, tokens),
-                request.arrivedMillis() + held,
-                wait);
+                request.arrivedMillis() + timeoutMillis,
+                waitMillis);
     }
 
     Optional<String> prepaidAccount() {
--- a/direct/src/main/java/org/streamring/direct/request/RequestRouter.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestRouter.java
@@ -11,59 +11,59 @@
 import org.streamring.model.route.PrepaidAccount;
 import org.streamring.model.route.Route;
 
-/** Finds route and account of each request, and starts it or refuses it. Confined to the event loop. */
+/** Resolves the route and the account of each request, then starts or refuses it. Confined to the event loop. */
 public final class RequestRouter implements RequestSink {
     private static final String KEY_SCHEME = "Bearer ";
-    private static final Duration UNTIL_CONFIGURED = Duration.ofMillis(500);
-    private static final Duration ELSEWHERE = Duration.ofMillis(20);
-    private static final ActiveRequest NOTHING = new Ended();
+    private static final Duration CONFIGURATION_RETRY_AFTER = Duration.ofMillis(500);
+    private static final Duration OTHER_ENTRY_RETRY_AFTER = Duration.ofMillis(20);
+    private static final ActiveRequest ALREADY_ANSWERED = new AnsweredRequest();
 
     private final RequestServices services;
     private final HeaderFilter filter;
-    private final PlaceQueue places;
+    private final SlotQueue slots;
     private int runningStreams;
 
-    /** Creates one. */
+    /** Creates a router with an empty queue of waiting requests. */
     public RequestRouter(RequestServices services) {
         this.services = services;
         this.filter = new HeaderFilter(services.names());
-        this.places = new PlaceQueue(services.loop(), services.clock(), new FixedWindow());
+        this.slots = new SlotQueue(services.loop(), services.clock(), new FixedWindow());
     }
 
     @Override
     public ActiveRequest serve(CallerRequest request, AnswerWriter writer) {
-        Optional<RouteTable> configured = services.routes().get();
-        if (configured.isEmpty()) {
-            return refuse(request, writer, OwnAnswer.later("not_configured", UNTIL_CONFIGURED));
+        Optional<RouteTable> currentRoutes = services.routes().get();
+        if (currentRoutes.isEmpty()) {
+            return refuse(request, writer, LocalAnswer.retryLater("not_configured", CONFIGURATION_RETRY_AFTER));
         }
-        RouteTable table = configured.get();
+        RouteTable table = currentRoutes.get();
         String host =
                 Optional.ofNullable(request.headers().get(HttpHeaderNames.HOST)).orElse("");
         Optional<Route> found = table.find(host, request.target());
         if (found.isEmpty()) {
-            return refuse(request, writer, OwnAnswer.refusal(404, "no_route"));
+            return refuse(request, writer, LocalAnswer.refusal(404, "no_route"));
         }
         Route route = found.get();
         Optional<PrepaidAccount> account = Optional.empty();
         if (table.needsKey(route)) {
             account = keyOf(request).flatMap(table::accountOfKey);
             if (account.isEmpty()) {
-                return refuse(request, writer, OwnAnswer.refusal(401, "unknown_key"));
+                return refuse(request, writer, LocalAnswer.refusal(401, "unknown_key"));
             }
         }
-        if (!services.takes().test(route)) {
-            return refuse(request, writer, OwnAnswer.later("entry_stops", ELSEWHERE));
+        if (!services.canFinishBeforeStop().test(route)) {
+            return refuse(request, writer, LocalAnswer.retryLater("entry_stops", OTHER_ENTRY_RETRY_AFTER));
         }
         String service = RouteTable.pickService(route, services.random().nextDouble());
         RequestPlan plan = RequestPlan.of(request, route, table.service(service), account, services.names());
-        Runnable onOver = route.stream() ? () -> runningStreams-- : () -> {};
+        Runnable onFinished = route.stream() ? () -> runningStreams-- : () -> {};
         runningStreams += route.stream() ? 1 : 0;
-        DirectRequest started = new DirectRequest(services, places, filter, plan, request, writer, onOver);
+        DirectRequest started = new DirectRequest(services, slots, filter, plan, request, writer, onFinished);
         started.start();
         return started;
     }
 
-    /** Streams in progress. */
+    /** Returns the number of streams in progress. */
     public int runningStreams() {
         return runningStreams;
     }
@@ -74,7 +74,7 @@
                 .map(value -> value.substring(KEY_SCHEME.length()).trim());
     }
 
-    private ActiveRequest refuse(CallerRequest request, AnswerWriter writer, OwnAnswer answer) {
+    private ActiveRequest refuse(CallerRequest request, AnswerWriter writer, LocalAnswer answer) {
         String id = Optional.ofNullable(request.headers().get(services.names().requestId()))
                 .orElse("");
         services.log()
@@ -90,18 +90,18 @@
                         services.routes().get().map(RouteTable::version).orElse(-1L));
         services.metrics().requestEnded(answer.reason(), 0, services.clock().getAsLong() - request.arrivedMillis());
         answer.write(writer, services.names(), id);
-        return NOTHING;
+        return ALREADY_ANSWERED;
     }
 
-    private static final class Ended implements ActiveRequest {
+    private static final class AnsweredRequest implements ActiveRequest {
         @Override
         public void callerGone() {
-            // the answer was given already
+            // the answer was already sent
         }
 
         @Override
         public void writabilityChanged(boolean writable) {
-            // the answer was given already
+            // the answer was already sent
         }
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/RequestServices.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestServices.java
@@ -14,21 +14,21 @@
 import org.streamring.platform.node.ForwardingHeaders;
 
 /**
- * What every request needs.
+ * Shared services and state that every request needs.
  *
- * @param loop event loop to which all of this is confined
- * @param clock milliseconds of a steady clock
- * @param random for choices among equals
+ * @param loop event loop to which all of these objects are confined
+ * @param clock monotonic clock, in milliseconds
+ * @param random random source for choices among equal candidates
  * @param failureDomain failure domain of this entry
  * @param names names of headers
- * @param routes configuration in force; empty until one is known
+ * @param routes routes of the configuration in force; empty until a configuration was read
  * @param fleet backend servers
- * @param tokens prepaid tokens
- * @param suspects keeps requests from being sent that crash what runs them
- * @param takes whether a request on a route that begins now could end before a planned stop
- * @param link what this box's own link still has to carry
- * @param metrics counters
- * @param log decisions
+ * @param tokens source of prepaid tokens
+ * @param suspects blocks requests that crash the servers which run them
+ * @param canFinishBeforeStop whether a request that starts on a route now can finish before a planned stop
+ * @param link backlog of this box's own network link
+ * @param metrics metrics of this entry
+ * @param log decision log
  */
 public record RequestServices(
         EventLoop loop,
@@ -40,7 +40,7 @@
         Fleet fleet,
         TokenSource tokens,
         SuspectGuard suspects,
-        Predicate<Route> takes,
+        Predicate<Route> canFinishBeforeStop,
         LinkPace link,
         EntryMetrics metrics,
         DecisionLog log) {}
--- a/direct/src/main/java/org/streamring/direct/request/SendCheck.java
+++ b/direct/src/main/java/org/streamring/direct/request/SendCheck.java
@@ -6,32 +6,35 @@
 import org.streamring.kernel.permit.LimitedBackends;
 import org.streamring.kernel.permit.Permit;
 
-/** Whether a request that is placed at a replica may still be sent to it. Confined to the event loop. */
+/** Checks whether a request that was placed at a replica may still be sent to it. Confined to the event loop. */
 final class SendCheck {
     private final BackendAvailability availability;
     private final LimitedBackends limits;
     private final LongSupplier clock;
     private final String incarnation;
-    private final boolean asLast;
+    private final boolean lastResort;
     private final Optional<Permit> permit;
 
-    /** Takes a permit for a request that is placed now, if its replica names a limit. */
+    /** Creates the check for a request that is placed now; takes a permit if the replica announces a limit. */
     SendCheck(BackendAvailability availability, LimitedBackends limits, LongSupplier clock, String incarnation) {
         this.availability = availability;
         this.limits = limits;
         this.clock = clock;
         this.incarnation = incarnation;
-        this.asLast = availability.isLeaving(incarnation);
+        this.lastResort = availability.isLeaving(incarnation);
         this.permit = limits.place(incarnation, clock.getAsLong());
     }
 
-    /** Asked when the connection is there: the replica may have said meanwhile that it takes nothing, or less. */
+    /**
+     * Returns whether the request may be sent. Called when the connection is established: in the meantime the replica
+     * may have announced that it accepts no requests, or fewer.
+     */
     boolean passes() {
         long now = clock.getAsLong();
-        return availability.mayBeSent(incarnation, asLast, now) && limits.mayBeSent(incarnation, permit, now);
+        return availability.mayBeSent(incarnation, lastResort, now) && limits.mayBeSent(incarnation, permit, now);
     }
 
-    /** The request was not sent. */
+    /** Returns the permit of a request that was not sent. */
     void notSent() {
         permit.ifPresent(limits::notSent);
     }
--- a/direct/src/main/java/org/streamring/direct/request/PlaceQueue.java
+++ b/direct/src/main/java/org/streamring/direct/request/SlotQueue.java
@@ -15,37 +15,37 @@
 import org.streamring.kernel.admission.WaitPolicy;
 import org.streamring.kernel.admission.WaitQuery;
 
-/** Requests that wait for a place at a replica; the most urgent and oldest goes first. Confined to the event loop. */
-final class PlaceQueue {
-    private static final Logger LOGGER = LoggerFactory.getLogger(PlaceQueue.class);
+/** Requests that wait for a free slot at a replica, ordered by rank and then by age. Confined to the event loop. */
+final class SlotQueue {
+    private static final Logger LOGGER = LoggerFactory.getLogger(SlotQueue.class);
     private static final long TICK_MILLIS = 15;
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final WaitPolicy policy;
-    private final PlacePace pace = new PlacePace();
+    private final PlacePace releaseRate = new PlacePace();
     private final List<Waiting> waiting = new ArrayList<>();
-    private boolean ticking;
+    private boolean tickScheduled;
 
-    /** A request that waits. */
+    /** A waiting request. */
     interface Waiting {
         /** Rank, 0 being the most urgent. */
         int rank();
 
-        /** Tries to go on; returns false if it still has to wait. */
+        /** Tries to place the request at a replica; returns false if it still has to wait. */
         boolean tryPlace();
     }
 
-    PlaceQueue(EventLoop loop, LongSupplier clock, WaitPolicy policy) {
+    SlotQueue(EventLoop loop, LongSupplier clock, WaitPolicy policy) {
         this.loop = loop;
         this.clock = clock;
         this.policy = policy;
     }
 
     /**
-     * Decides whether a request for which no place is free waits.
+     * Decides whether a request that found no free slot waits or is refused.
      *
-     * @param closedMillis time until a replica may be asked at all, as in {@link WaitQuery}
+     * @param closedMillis time until any replica accepts requests, as in {@link WaitQuery}
      */
     WaitDecision decide(Waiting request, long waitedMillis, Duration target, long deadlineMillis, long closedMillis) {
         long now = clock.getAsLong();
@@ -53,30 +53,30 @@
                 waitedMillis,
                 target.toMillis(),
                 deadlineMillis - now,
-                ahead(request),
-                pace.perMilli(now),
+                requestsAhead(request),
+                releaseRate.perMilli(now),
                 closedMillis));
     }
 
-    private int ahead(Waiting request) {
-        int own = waiting.indexOf(request);
-        return own >= 0
-                ? own
+    private int requestsAhead(Waiting request) {
+        int position = waiting.indexOf(request);
+        return position >= 0
+                ? position
                 : (int) waiting.stream()
                         .filter(each -> each.rank() <= request.rank())
                         .count();
     }
 
-    /** Notes that an attempt is over and its place free. */
-    void freed() {
-        pace.freed(clock.getAsLong());
+    /** Records that an attempt ended and released its slot. */
+    void slotReleased() {
+        releaseRate.freed(clock.getAsLong());
     }
 
     void add(Waiting request) {
         waiting.add(request);
         waiting.sort(Comparator.comparingInt(Waiting::rank));
-        if (!ticking) {
-            ticking = true;
+        if (!tickScheduled) {
+            tickScheduled = true;
             scheduleTick();
         }
     }
@@ -85,46 +85,49 @@
         waiting.remove(request);
     }
 
-    /** Lets requests that wait go on where there is room now. */
-    void poke() {
+    /** Retries all waiting requests, for which a slot may have become free. */
+    void retryWaiting() {
         for (Waiting request : List.copyOf(waiting)) {
             if (waiting.contains(request)) {
-                look(request);
+                retry(request);
             }
         }
     }
 
-    /** A request that fails waits no more, so that it holds up nobody behind it; its deadline ends it. */
-    private void look(Waiting request) {
-        boolean waitsOn = false;
+    /**
+     * Retries one request. If that throws, the request is removed so that it does not block the requests behind it; its
+     * deadline timer then ends it.
+     */
+    private void retry(Waiting request) {
+        boolean stillWaiting = false;
         try {
-            waitsOn = !request.tryPlace();
+            stillWaiting = !request.tryPlace();
         } finally {
-            if (!waitsOn) {
+            if (!stillWaiting) {
                 waiting.remove(request);
             }
         }
     }
 
     private void scheduleTick() {
-        loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS).addListener(PlaceQueue::logFailure);
+        loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS).addListener(SlotQueue::logTickFailure);
     }
 
     private void tick() {
         try {
-            poke();
+            retryWaiting();
         } finally {
             if (waiting.isEmpty()) {
-                ticking = false;
+                tickScheduled = false;
             } else {
                 scheduleTick();
             }
         }
     }
 
-    private static void logFailure(Future<?> ticked) {
-        if (ticked.cause() != null) {
-            LOGGER.error("a request that waits for a place failed", ticked.cause());
+    private static void logTickFailure(Future<?> tickResult) {
+        if (tickResult.cause() != null) {
+            LOGGER.error("retrying a request that waits for a slot failed", tickResult.cause());
         }
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/StreamTiming.java
+++ b/direct/src/main/java/org/streamring/direct/request/StreamTiming.java
@@ -3,41 +3,41 @@
 import java.util.OptionalLong;
 import java.util.function.LongSupplier;
 
-/** When the events of one answer were passed on to its caller. Confined to the event loop. */
+/** Timing of the events of one streamed answer, as passed on to the caller. Confined to the event loop. */
 final class StreamTiming {
     private final LongSupplier clock;
     private final long arrivedMillis;
-    private long newestMillis = -1;
+    private long lastEventMillis = -1;
     private long firstMillis = -1;
     private long longestPauseMillis;
 
     /**
-     * Creates one for a request without events so far.
+     * Creates the timing of a request that has passed on no events yet.
      *
-     * @param clock milliseconds on the clock of the request's arrival
+     * @param clock clock in milliseconds, the same on which the request's arrival was taken
      */
     StreamTiming(LongSupplier clock, long arrivedMillis) {
         this.clock = clock;
         this.arrivedMillis = arrivedMillis;
     }
 
-    /** Notes an event. */
-    void event() {
+    /** Records that an event was passed on. */
+    void recordEvent() {
         long now = clock.getAsLong();
-        if (newestMillis < 0) {
+        if (lastEventMillis < 0) {
             firstMillis = now - arrivedMillis;
         } else {
-            longestPauseMillis = Math.max(longestPauseMillis, now - newestMillis);
+            longestPauseMillis = Math.max(longestPauseMillis, now - lastEventMillis);
         }
-        newestMillis = now;
+        lastEventMillis = now;
     }
 
-    /** Milliseconds from the arrival to the first event; empty if there was none. */
+    /** Returns the milliseconds from the arrival to the first event; empty if there was no event. */
     OptionalLong firstEventMillis() {
         return firstMillis < 0 ? OptionalLong.empty() : OptionalLong.of(firstMillis);
     }
 
-    /** Longest time between two events that followed each other, in milliseconds. */
+    /** Returns the longest time between two consecutive events, in milliseconds. */
     long longestPauseMillis() {
         return longestPauseMillis;
     }
--- a/direct/src/main/java/org/streamring/direct/request/SuspectGuard.java
+++ b/direct/src/main/java/org/streamring/direct/request/SuspectGuard.java
@@ -15,8 +15,8 @@
 import org.streamring.model.route.PrepaidAccount;
 
 /**
- * Keeps requests from being sent that crash the servers which run them: asked before each attempt, told how each
- * ended. Confined to the event loop.
+ * Blocks requests that crash the servers which run them. It is queried before each attempt and notified of the end of
+ * each attempt. Confined to the event loop.
  */
 public final class SuspectGuard {
     private final RequestDigests digests;
@@ -26,7 +26,7 @@
     private final LongSupplier clock;
     private final DecisionLog log;
 
-    /** Creates one. */
+    /** Creates a guard on a table of suspects that is exchanged with other entries. */
     public SuspectGuard(
             RequestDigests digests,
             SuspectTable table,
@@ -42,12 +42,12 @@
         this.log = log;
     }
 
-    /** Starts to watch a request. */
+    /** Returns the guard state of a new request. */
     Watched watch(CallerRequest request, String id, Optional<PrepaidAccount> account) {
         return new Watched(id, digests.of(request, account));
     }
 
-    private void checked(String server, boolean ended) {
+    private void serverEndChecked(String server, boolean ended) {
         int requests = ended ? table.confirmed(server, clock.getAsLong()) : table.refuted(server);
         if (requests > 0) {
             log.line("server_end_checked", "server", server, "ended", ended, "requests", requests);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** One that leaves as planned, or whose entry is gone, ends for a reason of its own. */
+    /** Whether a server may have crashed: one that is shutting down or is no longer listed ends for another reason. */
     private boolean mayHaveCrashed(BackendInstance instance) {
         boolean listed = registry.find(instance.id())
                 .filter(known -> !registry.leaves(known))
@@ -63,7 +63,7 @@
         return listed && !registry.leaves(instance);
     }
 
-    /** One request. */
+    /** Guard state of one request. */
     final class Watched {
         private final String id;
         private final Optional<RequestDigest> digest;
@@ -75,13 +75,13 @@
             this.digest = digest;
         }
 
-        /** What it is known by when it comes again; empty while that can't be computed. */
+        /** Returns the digest by which a repetition of the request is recognized; empty while it can't be computed. */
         String digest() {
             return digest.map(RequestDigest::text).orElse("");
         }
 
-        /** If the request may not be sent, when it may be asked for again. */
-        Optional<Duration> refusedFor() {
+        /** Returns the time until a retry if the request must not be sent; empty if it may be sent. */
+        Optional<Duration> refusalRetryAfter() {
             Optional<SuspectDecision> refusal =
                     digest.map(each -> table.decide(each, clock.getAsLong())).filter(decision -> !decision.sends());
             refusal.ifPresent(this::log);
@@ -101,13 +101,13 @@
                     refusal.retryAfterMillis());
         }
 
-        /** An attempt begins. */
+        /** Called when an attempt begins. */
         void sent() {
             running = true;
             digest.ifPresent(each -> round = table.sent(each));
         }
 
-        /** The attempt is over, in whichever way. */
+        /** Called when the attempt has ended, whatever its result. */
         void ended() {
             if (running) {
                 running = false;
@@ -115,20 +115,20 @@
             }
         }
 
-        /** The attempt brought the whole answer. */
+        /** Called when the attempt returned the complete answer. */
         void answered() {
             digest.ifPresent(each -> table.answered(each, clock.getAsLong()));
             exchange.tellNews();
         }
 
-        /** The attempt broke off. */
-        void brokeOff(BackendInstance instance, BackendPool pool) {
+        /** Called when the attempt broke off; checks whether the process of the server has ended. */
+        void attemptBroken(BackendInstance instance, BackendPool pool) {
             if (digest.isEmpty() || !mayHaveCrashed(instance)) {
                 return;
             }
             String server = instance.incarnation();
             if (table.brokeOff(digest.get(), server, round, clock.getAsLong())) {
-                pool.checkEnded(ended -> checked(server, ended));
+                pool.checkEnded(ended -> serverEndChecked(server, ended));
             }
         }
     }
--- a/direct/src/main/java/org/streamring/direct/request/TokenSource.java
+++ b/direct/src/main/java/org/streamring/direct/request/TokenSource.java
@@ -3,30 +3,30 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Gives prepaid tokens to requests. */
+/** Reserves prepaid tokens for requests and settles their usage. */
 public interface TokenSource {
-    /** How a reservation ended. */
+    /** Outcome of a reservation. */
     enum Outcome {
         /** The tokens are reserved and must be settled. */
         RESERVED,
-        /** What is left of the account can't hold the request at its most. */
+        /** The remaining tokens of the account don't cover the declared maximum of the request. */
         EXHAUSTED,
-        /** No tokens are at hand now; there may be some later. */
+        /** No tokens are available now; some may become available later. */
         UNAVAILABLE
     }
 
     /** A reservation that may still be waiting. */
     interface Pending {
-        /** Stops waiting; has no effect after the outcome was told. */
+        /** Cancels the reservation; has no effect after the outcome was delivered. */
         void cancel();
     }
 
-    /** Reserves tokens; the outcome may be told before this returns. */
-    Pending reserve(String account, long tokens, Consumer<Outcome> then);
+    /** Reserves tokens; the outcome may be delivered before this method returns. */
+    Pending reserve(String account, long tokens, Consumer<Outcome> onOutcome);
 
-    /** Books what a request used, and frees the rest of its reservation. */
+    /** Settles the usage of a request and releases the remainder of its reservation. */
     void settle(String account, long reserved, long used);
 
-    /** When tokens may be there again after {@link Outcome#UNAVAILABLE}. */
+    /** Returns the time until tokens may be available again after {@link Outcome#UNAVAILABLE}. */
     Duration untilAvailable();
 }
--- a/direct/src/main/java/org/streamring/direct/request/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/request/package-info.java
@@ -1,4 +1,4 @@
-/** The way of one request from its arrival to its final answer. */
+/** Processing of a request from its arrival to its final answer. */
 @NullMarked
 package org.streamring.direct.request;
 
--- a/direct/src/test/java/org/streamring/direct/request/PromptHeaderTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/PromptHeaderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class PromptHeaderTest {
-    private static final Optional<TokenUse> TOKENS = Optional.of(new TokenUse(900, 50));
+    private static final Optional<DeclaredTokens> TOKENS = Optional.of(new DeclaredTokens(900, 50));
 
     @Test
     public void partsAreReadInOrder() {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void anExpectedLengthIsAtMostTheLargest() {
+    public void theExpectedAnswerLengthIsCappedAtTheDeclaredMaximum() {
         assertThat(read("a:600", "999").likelyAnswerTokens()).isEqualTo(50);
         assertThat(read("a:600", "many").likelyAnswerTokens()).isEqualTo(50);
     }
--- a/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
@@ -58,16 +58,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Requests for whose service no backend server is there, in simulated time.
+ * Tests requests to a service without backend servers, in simulated time.
  *
- * <p>A caller got 503 for a request that then ran, and two others got answers to requests that weren't theirs: an
- * earlier request on the same connection had been answered twice. It was refused for want of a place; the tokens that
- * it gave back let another one go on, which was refused as well, and that let the first one be looked at and refused
- * once more. Statuses of four requests before the mend: {@code [[503, 503], [503], [503], [503]]}.
+ * <p>Guards against a request that is answered twice, so that later requests on the same connection get the wrong
+ * answers. It was refused because no slot was free; the tokens it released resumed another request, which was refused
+ * as well, and this in turn retried and refused the first request again. The statuses of four requests were {@code
+ * [[503, 503], [503], [503], [503]]} with this fault. One caller got 503 for a request that then ran, and two got
+ * answers to requests of others.
  */
 public class RequestRouterTest {
-    /** A request without a place waits for a fifth of its target. */
-    private static final int PARTS_OF_TARGET = 5;
+    /** A request without a free slot waits for a fifth of its target latency. */
+    private static final int WINDOWS_PER_TARGET = 5;
 
     private static final long WINDOW_MILLIS = 20;
     private static final String ENTRY = "entry-1";
@@ -79,7 +80,7 @@
     private DecisionLog log;
     private BackendRegistry registry;
     private OptionalLong linkBytesPerSecond;
-    private OneAtATime tokens;
+    private OneReservationAtATime tokens;
     private RequestRouter router;
 
     @BeforeMethod
@@ -91,7 +92,7 @@
         linkBytesPerSecond = OptionalLong.empty();
         logged = new ByteArrayOutputStream();
         log = new DecisionLog(logged, ENTRY);
-        tokens = new OneAtATime();
+        tokens = new OneReservationAtATime();
         router = new RequestRouter(services(time.eventLoop()));
     }
 
@@ -103,10 +104,10 @@
     }
 
     @Test
-    public void eachRequestIsAnsweredOnceWhereItsTokensLetAnotherOneGoOn() {
-        List<Answers> answers = new ArrayList<>();
+    public void eachRequestIsAnsweredOnceWhenItsReleasedTokensResumeAnotherRequest() {
+        List<RecordingWriter> answers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            Answers writer = new Answers();
+            RecordingWriter writer = new RecordingWriter();
             answers.add(writer);
             router.serve(request("r-" + i), writer);
         }
@@ -115,46 +116,47 @@
     }
 
     @Test
-    public void tokensOfARefusedRequestAreGivenBackOnce() {
+    public void theTokensOfARefusedRequestAreSettledOnce() {
         for (int i = 0; i < 4; i++) {
-            router.serve(request("r-" + i), new Answers());
+            router.serve(request("r-" + i), new RecordingWriter());
         }
         advance(2 * WINDOW_MILLIS);
         assertThat(tokens.settled).isEqualTo(4);
     }
 
     @Test
-    public void aRequestWhoseCallerHasLeftReservesNothing() {
-        Answers left = new Answers();
-        left.callerPresent = false;
-        router.serve(request("r-0"), left);
-        Answers next = new Answers();
+    public void aRequestWhoseCallerHasDisconnectedReservesNoTokens() {
+        RecordingWriter disconnected = new RecordingWriter();
+        disconnected.callerPresent = false;
+        router.serve(request("r-0"), disconnected);
+        RecordingWriter next = new RecordingWriter();
         router.serve(request("r-1"), next);
         advance(2 * WINDOW_MILLIS);
 
-        assertThat(left.statuses).isEmpty();
+        assertThat(disconnected.statuses).isEmpty();
         assertThat(tokens.reserved).isEqualTo(1);
     }
 
-    /** A backend server is there when the tokens come; it can't be connected to, which tells that it was tried. */
-    @Test(dataProvider = "whetherTheCallerStays")
-    public void anAttemptBeginsWhenTokensComeOnlyForACallerThatStays(boolean stays) throws InterruptedException {
+    /** A backend server is listed when the tokens arrive. Connecting to it fails, which shows that it was tried. */
+    @Test(dataProvider = "whetherTheCallerIsStillConnected")
+    public void anAttemptBeginsAfterAWaitForTokensOnlyIfTheCallerIsStillConnected(boolean connected)
+            throws InterruptedException {
         tokens.beforeNext = () ->
                 registry.put(new BackendInstance("i-1", "assist", "127.0.0.1", 1, "hall", 8, true, 0, 0), nowMillis);
-        router.serve(request("r-0"), new Answers());
-        Answers waiting = new Answers();
+        router.serve(request("r-0"), new RecordingWriter());
+        RecordingWriter waiting = new RecordingWriter();
         router.serve(request("r-1"), waiting);
-        waiting.callerPresent = stays;
+        waiting.callerPresent = connected;
         advance(2 * WINDOW_MILLIS);
 
         log.close();
-        assertThat(attempts("r-1") > 0).isEqualTo(stays);
-        assertThat(waiting.statuses).hasSize(stays ? 1 : 0);
+        assertThat(attempts("r-1") > 0).isEqualTo(connected);
+        assertThat(waiting.statuses).hasSize(connected ? 1 : 0);
         assertThat(tokens.settled).isEqualTo(2);
     }
 
     @DataProvider
-    public Object[][] whetherTheCallerStays() {
+    public Object[][] whetherTheCallerIsStillConnected() {
         return new Object[][] {{true}, {false}};
     }
 
@@ -183,7 +185,7 @@
     }
 
     private RequestServices services(EventLoop loop) {
-        RowStore store = new SilentStore();
+        RowStore store = new UnresponsiveStore();
         EntryMetrics metrics = new EntryMetrics();
         EntryPeers peers = new EntryPeers(
                 loops,
@@ -246,7 +248,7 @@
                 0,
                 2,
                 Duration.ofSeconds(5),
-                Duration.ofMillis(WINDOW_MILLIS * PARTS_OF_TARGET),
+                Duration.ofMillis(WINDOW_MILLIS * WINDOWS_PER_TARGET),
                 Duration.ofSeconds(1),
                 List.of(new RouteTarget("assist", 1)));
         PrepaidAccount account =
@@ -254,8 +256,8 @@
         return new RoutingConfiguration(1, List.of(route), List.of(), List.of(account), CallerLimits.DEFAULT);
     }
 
-    /** Has tokens for one request at a time; the next one gets them as soon as they are given back. */
-    private static final class OneAtATime implements TokenSource {
+    /** Has tokens for one request at a time; the next one gets them as soon as they are returned. */
+    private static final class OneReservationAtATime implements TokenSource {
         private final List<Consumer<Outcome>> waiting = new ArrayList<>();
         private Runnable beforeNext = () -> {};
         private boolean taken;
@@ -263,15 +265,15 @@
         private int settled;
 
         @Override
-        public Pending reserve(String account, long tokens, Consumer<Outcome> then) {
+        public Pending reserve(String account, long tokens, Consumer<Outcome> onOutcome) {
             reserved++;
             if (taken) {
-                waiting.add(then);
+                waiting.add(onOutcome);
             } else {
                 taken = true;
-                then.accept(Outcome.RESERVED);
+                onOutcome.accept(Outcome.RESERVED);
             }
-            return () -> waiting.remove(then);
+            return () -> waiting.remove(onOutcome);
         }
 
         @Override
@@ -291,7 +293,7 @@
         }
     }
 
-    private static final class Answers implements AnswerWriter {
+    private static final class RecordingWriter implements AnswerWriter {
         private final List<Integer> statuses = new ArrayList<>();
         private boolean callerPresent = true;
 
@@ -331,7 +333,7 @@
         }
     }
 
-    private static final class SilentStore implements RowStore {
+    private static final class UnresponsiveStore implements RowStore {
         @Override
         public CompletableFuture<CommitResult> commit(List<RowChange> changes) {
             return new CompletableFuture<>();
--- a/direct/src/test/java/org/streamring/direct/request/PlaceQueueTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/SlotQueueTest.java
@@ -9,15 +9,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class PlaceQueueTest {
+public class SlotQueueTest {
     private EmbeddedChannel time;
-    private PlaceQueue queue;
+    private SlotQueue queue;
 
     @BeforeMethod
     public void setUp() {
         time = new EmbeddedChannel();
         time.freezeTime();
-        queue = new PlaceQueue(time.eventLoop(), () -> 0, new FixedWindow());
+        queue = new SlotQueue(time.eventLoop(), () -> 0, new FixedWindow());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -26,13 +26,13 @@
     }
 
     @Test
-    public void aRequestThatWaitsIsLookedAtAgainAfterAnotherOneHasFailed() {
-        queue.add(new Waiting(true));
+    public void aWaitingRequestIsRetriedAfterTheRetryOfAnotherOneThrew() {
+        queue.add(new WaitingRequest(true));
         advance();
-        Waiting later = new Waiting(false);
-        queue.add(later);
+        WaitingRequest next = new WaitingRequest(false);
+        queue.add(next);
         advance();
-        assertThat(later.looks).isPositive();
+        assertThat(next.retries).isPositive();
     }
 
     private void advance() {
@@ -42,11 +42,11 @@
         }
     }
 
-    private static final class Waiting implements PlaceQueue.Waiting {
+    private static final class WaitingRequest implements SlotQueue.Waiting {
         private final boolean fails;
-        private int looks;
+        private int retries;
 
-        private Waiting(boolean fails) {
+        private WaitingRequest(boolean fails) {
             this.fails = fails;
         }
 
@@ -57,9 +57,9 @@
 
         @Override
         public boolean tryPlace() {
-            looks++;
+            retries++;
             if (fails) {
-                throw new IllegalStateException("it can't be placed");
+                throw new IllegalStateException("placement failed");
             }
             return true;
         }
--- a/direct/src/test/java/org/streamring/direct/request/StreamTimingTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/StreamTimingTest.java
@@ -9,19 +9,19 @@
     private final StreamTiming timing = new StreamTiming(() -> now, 900);
 
     @Test
-    public void withoutEventsNothingIsTold() {
+    public void theFirstEventTimeIsEmptyWithoutEvents() {
         assertThat(new StreamTiming(() -> now, 900).firstEventMillis()).isEmpty();
     }
 
     @Test
-    public void theFirstEventIsCountedFromTheArrivalAndPausesBetweenEvents() {
-        timing.event();
+    public void theFirstEventIsTimedFromTheArrivalAndPausesBetweenConsecutiveEvents() {
+        timing.recordEvent();
         now = 1_050;
-        timing.event();
+        timing.recordEvent();
         now = 1_400;
-        timing.event();
+        timing.recordEvent();
         now = 1_420;
-        timing.event();
+        timing.recordEvent();
         assertThat(timing.firstEventMillis()).hasValue(100);
         assertThat(timing.longestPauseMillis()).isEqualTo(350);
     }
