--- a/direct/src/main/java/org/streamring/direct/caller/AnswerWriter.java
+++ b/direct/src/main/java/org/streamring/direct/caller/AnswerWriter.java
@@ -2,26 +2,26 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Writes the answer to one request. Exactly one of {@code whole}, {@code end} and {@code abort} ends it. */
+/** Writes the answer to one request. Exactly one call of {@link #writeFull}, {@link #end} or {@link #abort} ends it. */
 public interface AnswerWriter {
-    /** Sends a whole answer. */
-    void whole(int status, HttpHeaders headers, byte[] body);
+    /** Sends a complete answer. */
+    void writeFull(int status, HttpHeaders headers, byte[] body);
 
-    /** Begins an answer whose length is not known. */
-    void begin(int status, HttpHeaders headers);
+    /** Sends the head of an answer of unknown length. */
+    void writeHead(int status, HttpHeaders headers);
 
     /** Sends a part of the body. */
-    void data(byte[] data);
+    void writeData(byte[] data);
 
-    /** Ends an answer that was begun, as complete. */
+    /** Completes an answer whose head was sent. */
     void end();
 
-    /** Ends an answer in a way that the caller can't take for complete. */
+    /** Ends an answer so that the caller recognizes it as incomplete. */
     void abort();
 
-    /** Whether the caller takes more data at once. */
+    /** Whether more data can be sent at once, without being buffered. */
     boolean writable();
 
-    /** Looks whether the caller is still there, by what has arrived of it until now. */
+    /** Whether the caller is still connected, judged by the bytes that have arrived from it so far. */
     boolean callerPresent();
 }
--- a/direct/src/main/java/org/streamring/direct/caller/CallerConnection.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerConnection.java
@@ -29,10 +29,10 @@
 import org.streamring.net.process.ArrivedBytes;
 
 /**
- * One connection of a caller: requests are served one after the other, in order.
+ * Connection of a caller. Serves its requests one at a time, in the order of their arrival.
  *
- * <p>Reading goes on while a request is served, so that a caller who leaves is noticed at once. Confined to the event
- * loop.
+ * <p>The connection is read while a request is served, so that a disconnect of the caller is detected at once. Confined
+ * to the event loop.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_PIPELINED = 16;
@@ -40,7 +40,7 @@
     private final RequestSink sink;
     private final LongSupplier clock;
     private final BooleanSupplier stopping;
-    private final Deque<FullHttpRequest> waiting = new ArrayDeque<>();
+    private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
     private @Nullable ChannelHandlerContext context;
     private RequestSink.@Nullable ActiveRequest active;
     private @Nullable Writer writer;
@@ -58,22 +58,22 @@
         context = added;
     }
 
-    /** Closes the connection if it has rested for so long. */
+    /** Closes the connection if it has been idle for longer than the given time. */
     void closeIfIdle(long idleMillis) {
-        if (writer == null && waiting.isEmpty() && clock.getAsLong() - lastActivityMillis > idleMillis) {
+        if (writer == null && pipelined.isEmpty() && clock.getAsLong() - lastActivityMillis > idleMillis) {
             channel().close();
         }
     }
 
     /** Closes the connection if no request is in progress. */
     void closeIfUnused() {
-        if (writer == null && waiting.isEmpty()) {
+        if (writer == null && pipelined.isEmpty()) {
             channel().close();
         }
     }
 
     boolean busy() {
-        return writer != null || !waiting.isEmpty();
+        return writer != null || !pipelined.isEmpty();
     }
 
     private Channel channel() {
@@ -87,8 +87,8 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        waiting.addLast(request);
-        if (waiting.size() >= MAX_PIPELINED) {
+        pipelined.addLast(request);
+        if (pipelined.size() >= MAX_PIPELINED) {
             reading.channel().config().setAutoRead(false);
         }
     }
@@ -102,7 +102,7 @@
         if (writer != null) {
             return;
         }
-        FullHttpRequest next = waiting.pollFirst();
+        FullHttpRequest next = pipelined.pollFirst();
         if (next == null) {
             channel().config().setAutoRead(true);
             return;
@@ -122,17 +122,17 @@
             return;
         }
         if (ambiguousLength(request.headers())) {
-            created.closeAfter();
-            created.text(HttpResponseStatus.BAD_REQUEST, "both a length and chunks are given");
+            created.disableKeepAlive();
+            created.writeText(HttpResponseStatus.BAD_REQUEST, "both a length and chunks are given");
             return;
         }
         byte[] body = new byte[request.content().readableBytes()];
         request.content().readBytes(body);
-        CallerRequest whole =
+        CallerRequest callerRequest =
                 new CallerRequest(request.method(), request.uri(), request.headers(), body, clock.getAsLong());
-        RequestSink.ActiveRequest started = sink.serve(whole, created);
+        RequestSink.ActiveRequest servedRequest = sink.serve(callerRequest, created);
         if (writer == created) {
-            active = started;
+            active = servedRequest;
         }
     }
 
@@ -141,12 +141,12 @@
     }
 
     private void refuseMalformed(Throwable cause) {
-        Writer refusing = Objects.requireNonNull(writer);
-        refusing.closeAfter();
+        Writer refusalWriter = Objects.requireNonNull(writer);
+        refusalWriter.disableKeepAlive();
         HttpResponseStatus status = cause instanceof TooLongFrameException
                 ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                 : HttpResponseStatus.BAD_REQUEST;
-        refusing.text(status, "the request can't be read");
+        refusalWriter.writeText(status, "the request can't be read");
     }
 
     @Override
@@ -158,12 +158,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext inactive) {
-        waiting.forEach(FullHttpRequest::release);
-        waiting.clear();
-        RequestSink.ActiveRequest left = active;
+        pipelined.forEach(FullHttpRequest::release);
+        pipelined.clear();
+        RequestSink.ActiveRequest activeRequest = active;
         active = null;
-        if (left != null) {
-            left.callerGone();
+        if (activeRequest != null) {
+            activeRequest.callerGone();
         }
     }
 
@@ -179,37 +179,37 @@
             this.keepAlive = keepAlive;
         }
 
-        private void closeAfter() {
+        private void disableKeepAlive() {
             keepAlive = false;
         }
 
-        private void text(HttpResponseStatus status, String text) {
+        private void writeText(HttpResponseStatus status, String text) {
             HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "text/plain");
-            whole(status.code(), headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
+            writeFull(status.code(), headers, (text + "\n").getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
-        public void whole(int status, HttpHeaders headers, byte[] body) {
+        public void writeFull(int status, HttpHeaders headers, byte[] body) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(body));
             response.headers().set(headers);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            markConnection(response.headers());
+            setConnectionHeader(response.headers());
             finish(response);
         }
 
         @Override
-        public void begin(int status, HttpHeaders headers) {
+        public void writeHead(int status, HttpHeaders headers) {
             DefaultHttpResponse response =
                     new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
             response.headers().set(headers);
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            markConnection(response.headers());
+            setConnectionHeader(response.headers());
             channel().write(response);
         }
 
         @Override
-        public void data(byte[] data) {
+        public void writeData(byte[] data) {
             channel().writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(data)));
         }
 
@@ -220,7 +220,7 @@
 
         @Override
         public void abort() {
-            over();
+            answerFinished();
             channel().close();
         }
 
@@ -234,7 +234,7 @@
             return ArrivedBytes.leaveOpen(channel());
         }
 
-        private void markConnection(HttpHeaders headers) {
+        private void setConnectionHeader(HttpHeaders headers) {
             if (stopping.getAsBoolean()) {
                 keepAlive = false;
             }
@@ -244,7 +244,7 @@
         }
 
         private void finish(Object last) {
-            over();
+            answerFinished();
             if (keepAlive) {
                 channel().writeAndFlush(last);
                 serveNext();
@@ -253,7 +253,7 @@
             }
         }
 
-        private void over() {
+        private void answerFinished() {
             active = null;
             writer = null;
             lastActivityMillis = clock.getAsLong();
--- a/direct/src/main/java/org/streamring/direct/caller/CallerRequest.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerRequest.java
@@ -4,13 +4,13 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A whole request of a caller.
+ * A complete request of a caller.
  *
- * @param method method
+ * @param method HTTP method
  * @param target request target as sent
  * @param headers headers as sent
- * @param body whole body
- * @param arrivedMillis when it was whole, on the process's steady clock
+ * @param body complete body
+ * @param arrivedMillis time at which the request was complete, on the process's monotonic clock
  */
-@SuppressWarnings("ArrayRecordComponent") // bytes are handed on, not copied
+@SuppressWarnings("ArrayRecordComponent") // the array is passed on without being copied
 public record CallerRequest(HttpMethod method, String target, HttpHeaders headers, byte[] body, long arrivedMillis) {}
--- a/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
@@ -17,7 +17,7 @@
 import org.streamring.net.peer.PeerException;
 import org.streamring.net.process.Listening;
 
-/** Listens for callers. Confined to the event loop but for its creation. */
+/** Server socket for callers. Confined to the event loop, except for the constructor. */
 public final class CallerServer {
     private static final int MAX_LINE_BYTES = 8_192;
     private static final int CHUNK_BYTES = 65_536;
@@ -26,7 +26,7 @@
     private final Supplier<CallerLimits> limits;
     private final Listening listening;
 
-    /** Starts to listen. */
+    /** Opens the server socket. */
     public CallerServer(
             EventLoopGroup loops,
             InetSocketAddress address,
@@ -40,12 +40,12 @@
                 loops, address, accepted -> prepare(accepted, new CallerConnection(sink, clock, stopping)));
     }
 
-    /** Port in use. */
+    /** Returns the port on which the server listens. */
     public int port() {
         return listening.port();
     }
 
-    /** Closes connections that have rested too long. */
+    /** Closes connections that were idle for longer than the idle timeout. */
     public void closeIdle() {
         long idleMillis = limits.get().idleTimeout().toMillis();
         List.copyOf(connections).forEach(connection -> connection.closeIfIdle(idleMillis));
@@ -56,21 +56,21 @@
         List.copyOf(connections).forEach(CallerConnection::closeIfUnused);
     }
 
-    /** Requests in progress. */
+    /** Returns the number of connections with a request in progress. */
     public long busy() {
         return connections.stream().filter(CallerConnection::busy).count();
     }
 
     private void prepare(SocketChannel accepted, CallerConnection connection) {
-        CallerLimits inForce = limits.get();
+        CallerLimits currentLimits = limits.get();
         accepted.config().setTcpNoDelay(true);
         accepted.pipeline()
                 .addLast(
                         new HttpServerCodec(
-                                Math.max(MAX_LINE_BYTES, inForce.maxHeaderBytes()),
-                                inForce.maxHeaderBytes(),
+                                Math.max(MAX_LINE_BYTES, currentLimits.maxHeaderBytes()),
+                                currentLimits.maxHeaderBytes(),
                                 CHUNK_BYTES),
-                        new HttpObjectAggregator(inForce.maxBodyBytes()),
+                        new HttpObjectAggregator(currentLimits.maxBodyBytes()),
                         connection,
                         new Registration(connection));
     }
--- a/direct/src/main/java/org/streamring/direct/caller/RequestSink.java
+++ b/direct/src/main/java/org/streamring/direct/caller/RequestSink.java
@@ -1,16 +1,16 @@
 package org.streamring.direct.caller;
 
-/** Takes callers' requests. */
+/** Receives the requests of callers. */
 public interface RequestSink {
-    /** Starts to serve a request; the answer goes to the writer. */
+    /** Starts to serve a request, whose answer is sent through the writer. */
     ActiveRequest serve(CallerRequest request, AnswerWriter writer);
 
     /** A request that is being served. */
     interface ActiveRequest {
-        /** The caller has left. */
+        /** Called when the caller has disconnected. */
         void callerGone();
 
-        /** The caller takes, or does not take, more data. */
+        /** Called when the connection to the caller becomes writable or stops being writable. */
         void writabilityChanged(boolean writable);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/caller/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/caller/package-info.java
@@ -1,4 +1,4 @@
-/** Connections of callers. */
+/** HTTP connections of callers. */
 @NullMarked
 package org.streamring.direct.caller;
 
--- a/direct/src/main/java/org/streamring/direct/request/AnswerRelay.java
+++ b/direct/src/main/java/org/streamring/direct/request/AnswerRelay.java
@@ -66,7 +66,7 @@
         for (EventSplitter.Event event : events) {
             sendHeadOnce();
             event.id().ifPresent(id -> lastEventId = Optional.of(id));
-            writer.data(event.bytes());
+            writer.writeData(event.bytes());
             timing.recordEvent();
         }
         return events.size();
@@ -86,7 +86,7 @@
     void end() {
         BufferedAnswer buffered = bufferedAnswer;
         if (buffered != null && !started) {
-            writer.whole(
+            writer.writeFull(
                     buffered.head().status(), filter.forCaller(buffered.head().headers()), buffered.body());
             return;
         }
@@ -97,7 +97,7 @@
     private void sendHeadOnce() {
         if (!started && head != null) {
             started = true;
-            writer.begin(head.status(), filter.forCaller(head.headers()));
+            writer.writeHead(head.status(), filter.forCaller(head.headers()));
         }
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
+++ b/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
@@ -298,7 +298,8 @@
         if (end.answer().isPresent() && end.answer().get().forwardable()) {
             BufferedAnswer answer = end.answer().get();
             terminate("failure_passed_on", answer.head().status());
-            writer.whole(answer.head().status(), filter.forCaller(answer.head().headers()), answer.body());
+            writer.writeFull(
+                    answer.head().status(), filter.forCaller(answer.head().headers()), answer.body());
             return;
         }
         answerLocally(
--- a/direct/src/main/java/org/streamring/direct/request/LocalAnswer.java
+++ b/direct/src/main/java/org/streamring/direct/request/LocalAnswer.java
@@ -44,6 +44,6 @@
         }
         retryAfter.ifPresent(after -> headers.set(
                 HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", after.toMillis() / MILLIS_PER_SECOND)));
-        writer.whole(status, headers, ("{\"error\":\"" + reason + "\"}\n").getBytes(StandardCharsets.UTF_8));
+        writer.writeFull(status, headers, ("{\"error\":\"" + reason + "\"}\n").getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
@@ -298,17 +298,17 @@
         private boolean callerPresent = true;
 
         @Override
-        public void whole(int status, HttpHeaders headers, byte[] body) {
+        public void writeFull(int status, HttpHeaders headers, byte[] body) {
             statuses.add(status);
         }
 
         @Override
-        public void begin(int status, HttpHeaders headers) {
+        public void writeHead(int status, HttpHeaders headers) {
             throw new IllegalStateException("nothing is streamed here");
         }
 
         @Override
-        public void data(byte[] data) {
+        public void writeData(byte[] data) {
             throw new IllegalStateException("nothing is streamed here");
         }
 
