--- a/direct/src/main/java/org/streamring/direct/metrics/EntryMetrics.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/EntryMetrics.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.function.Supplier;
 
-/** What a direct entry counts; the names are those of the metrics address. */
+/** Meters of a direct entry, registered under the names that the metrics endpoint exposes. */
 public final class EntryMetrics {
     private static final Duration[] LATENCY_BUCKETS = {
         Duration.ofMillis(10),
@@ -21,16 +21,16 @@
         Duration.ofSeconds(10)
     };
 
-    private static final double[] LIMIT_PARTS = {0.1, 0.25, 0.5, 0.75, 0.9, 1, 1.5};
+    private static final double[] LIMIT_USE_BUCKETS = {0.1, 0.25, 0.5, 0.75, 0.9, 1, 1.5};
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-    /** Where the meters are kept. */
+    /** Returns the registry that holds the meters. */
     public PrometheusMeterRegistry registry() {
         return registry;
     }
 
-    /** Counts a final answer and its time from arrival to end, by outcome and rank. */
+    /** Counts a final answer and records the time since the arrival of its request, by outcome and rank. */
     public void requestEnded(String outcome, int rank, long millis) {
         Timer.builder("streamring.direct.request")
                 .tag("outcome", outcome)
@@ -40,7 +40,7 @@
                 .record(Duration.ofMillis(millis));
     }
 
-    /** Counts an attempt without a success, by its kind. */
+    /** Counts an attempt that did not succeed, by the kind of its end. */
     public void attemptFailed(String kind) {
         Counter.builder("streamring.direct.attempt.failed")
                 .tag("kind", kind)
@@ -48,7 +48,7 @@
                 .increment();
     }
 
-    /** Counts a request that got no prepaid tokens, by reason. */
+    /** Counts a request that was refused prepaid tokens, by reason. */
     public void tokensRefused(String reason) {
         Counter.builder("streamring.direct.tokens.refused")
                 .tag("reason", reason)
@@ -56,7 +56,7 @@
                 .increment();
     }
 
-    /** Counts a connection to another entry that ended, by reason. */
+    /** Counts a lost connection to another entry, by reason. */
     public void peerLost(String reason) {
         Counter.builder("streamring.direct.peer.lost")
                 .tag("reason", reason)
@@ -64,22 +64,22 @@
                 .increment();
     }
 
-    /** Notes how much of a server's limit the permits of this entry used, as a part of it. */
-    public void limitUsed(double part) {
+    /** Records the fraction of a server's limit that was used by permits of this entry. */
+    public void limitUsed(double fraction) {
         DistributionSummary.builder("streamring.direct.backend.limit.used")
-                .serviceLevelObjectives(LIMIT_PARTS)
+                .serviceLevelObjectives(LIMIT_USE_BUCKETS)
                 .register(registry)
-                .record(part);
+                .record(fraction);
     }
 
-    /** Counts answers that name something that is no limit as their server's limit. */
+    /** Counts an answer whose announced limit can't be parsed. */
     public void limitUnreadable() {
         Counter.builder("streamring.direct.backend.limit.unreadable")
                 .register(registry)
                 .increment();
     }
 
-    /** Notes how late a timer of the event loop ran. */
+    /** Records the delay of a timer on the event loop. */
     public void loopDelay(long millis) {
         Timer.builder("streamring.direct.loop.delay")
                 .serviceLevelObjectives(LATENCY_BUCKETS)
@@ -87,7 +87,7 @@
                 .record(Duration.ofMillis(millis));
     }
 
-    /** Counts questions to lenders, by whether they were answered in time. */
+    /** Counts a request to a lender, by whether it was answered in time. */
     public void lenderAsked(boolean answered) {
         Counter.builder("streamring.direct.lender.asked")
                 .tag("answered", String.valueOf(answered))
@@ -95,7 +95,7 @@
                 .increment();
     }
 
-    /** Shows a number that is read when the metrics are. */
+    /** Registers a gauge, whose value is read when the metrics are scraped. */
     public void gauge(String name, Supplier<Number> value) {
         Gauge.builder("streamring.direct." + name, value).register(registry);
     }
--- a/direct/src/main/java/org/streamring/direct/metrics/LinkWatch.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/LinkWatch.java
@@ -5,60 +5,60 @@
 import org.streamring.kernel.admission.LinkPace;
 import org.streamring.kernel.admission.LinkPace.Traffic;
 
-/** Logs when the link of this box is full, and what filled it. Confined to the event loop. */
+/** Logs when this box's network link becomes full or free and which traffic filled it. Confined to the event loop. */
 public final class LinkWatch {
-    /** Requests are held back from here on. */
+    /** Above this queueing time, requests are held back. */
     private static final long FULL_MILLIS = LinkPace.MOST_QUEUED_MILLIS;
 
-    private static final long SPELL_MILLIS = 1_000;
+    private static final long INTERVAL_MILLIS = 1_000;
 
     private final LinkPace link;
     private final LongSupplier clock;
     private final DecisionLog log;
-    private Totals before = new Totals(0, 0, 0);
-    private long beforeMillis;
+    private ByteTotals intervalStart = new ByteTotals(0, 0, 0);
+    private long intervalStartMillis;
     private boolean full;
 
-    private record Totals(long requests, long answers, long reports) {}
+    private record ByteTotals(long requests, long answers, long reports) {}
 
-    /** Creates one. */
+    /** Creates a monitor of the link. */
     public LinkWatch(LinkPace link, LongSupplier clock, DecisionLog log) {
         this.link = link;
         this.clock = clock;
         this.log = log;
     }
 
-    /** To be called several times a second. */
-    void look() {
+    /** Compares the queue of the link with the limit; to be called several times a second. */
+    void check() {
         long now = clock.getAsLong();
         boolean fullNow = link.queuedMillis(now) > FULL_MILLIS;
         if (fullNow != full) {
             full = fullNow;
             log(now);
         }
-        if (now - beforeMillis > SPELL_MILLIS) {
-            before = totals();
-            beforeMillis = now;
+        if (now - intervalStartMillis > INTERVAL_MILLIS) {
+            intervalStart = totals();
+            intervalStartMillis = now;
         }
     }
 
-    private Totals totals() {
-        return new Totals(link.bytes(Traffic.REQUESTS), link.bytes(Traffic.ANSWERS), link.bytes(Traffic.REPORTS));
+    private ByteTotals totals() {
+        return new ByteTotals(link.bytes(Traffic.REQUESTS), link.bytes(Traffic.ANSWERS), link.bytes(Traffic.REPORTS));
     }
 
     private void log(long now) {
-        Totals totals = totals();
+        ByteTotals totals = totals();
         log.line(
                 full ? "link_full" : "link_free",
                 "queued_ms",
                 link.queuedMillis(now),
                 "since_ms",
-                now - beforeMillis,
+                now - intervalStartMillis,
                 "requests_bytes",
-                totals.requests() - before.requests(),
+                totals.requests() - intervalStart.requests(),
                 "answers_bytes",
-                totals.answers() - before.answers(),
+                totals.answers() - intervalStart.answers(),
                 "reports_bytes",
-                totals.reports() - before.reports());
+                totals.reports() - intervalStart.reports());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/metrics/LoopWatch.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/LoopWatch.java
@@ -6,7 +6,7 @@
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.kernel.admission.LoopLateness;
 
-/** Measures how late timers of the event loop run, and logs when the loop falls behind. Confined to it. */
+/** Measures the delay of timers on the event loop and logs when the loop falls behind. Confined to the event loop. */
 public final class LoopWatch {
     private static final long INTERVAL_MILLIS = 100;
 
@@ -15,12 +15,12 @@
     private final EntryMetrics metrics;
     private final DecisionLog log;
     private final LinkWatch linkWatch;
-    private final LoopLateness lateness = new LoopLateness();
+    private final LoopLateness delayDetector = new LoopLateness();
 
     /**
-     * Creates one.
+     * Creates a monitor of an event loop.
      *
-     * @param linkWatch looks at the link with the same timer
+     * @param linkWatch monitor of the link, run by the same timer
      */
     public LoopWatch(EventLoop loop, LongSupplier clock, LinkWatch linkWatch, EntryMetrics metrics, DecisionLog log) {
         this.loop = loop;
@@ -30,18 +30,18 @@
         this.log = log;
     }
 
-    /** Starts to measure. */
+    /** Schedules the next measurement. */
     public void start() {
         long due = clock.getAsLong() + INTERVAL_MILLIS;
-        loop.schedule(() -> ran(due), INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> timerRan(due), INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void ran(long due) {
+    private void timerRan(long due) {
         long now = clock.getAsLong();
         long delay = Math.max(0, now - due);
         metrics.loopDelay(delay);
-        lateness.ran(delay, now).ifPresent(this::log);
-        linkWatch.look();
+        delayDetector.ran(delay, now).ifPresent(this::log);
+        linkWatch.check();
         start();
     }
 
