--- a/direct/src/main/java/org/streamring/direct/log/DecisionLog.java
+++ b/direct/src/main/java/org/streamring/direct/log/DecisionLog.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes JSON lines to an output, without ever blocking the caller.
+ * Writes log events to an output as JSON lines, without ever blocking the caller.
  *
- * <p>Lines wait in a bounded queue for a writer thread; those that find it full are dropped and counted, and the
- * count is told in a line of its own.
+ * <p>A writer thread takes the lines from a bounded queue. Lines that arrive while the queue is full are dropped; their
+ * number is logged in a separate line.
  */
 public final class DecisionLog implements AutoCloseable {
-    private static final int CAPACITY = 4_096;
-    private static final long PAUSE_MILLIS = 100;
+    private static final int QUEUE_CAPACITY = 4_096;
+    private static final long WRITE_INTERVAL_MILLIS = 100;
 
-    private final ArrayBlockingQueue<Line> queue = new ArrayBlockingQueue<>(CAPACITY);
+    private final ArrayBlockingQueue<Line> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     private final JsonFactory json = new JsonFactory();
     private final OutputStream output;
@@ -33,7 +33,7 @@
     /**
      * Starts the writer thread.
      *
-     * @param process name of the process, written into each line
+     * @param process name of the process, included in each line
      */
     public DecisionLog(OutputStream output, String process) {
         this.output = new BufferedOutputStream(output);
@@ -45,8 +45,8 @@
     /**
      * Logs an event.
      *
-     * @param event what happened
-     * @param fields names and values in turn; a value is a string, a number or a boolean
+     * @param event name of the event
+     * @param fields alternating names and values; a value is a string, a number or a boolean
      */
     public void line(String event, Object... fields) {
         if (!queue.offer(new Line(System.currentTimeMillis(), event, List.of(fields)))) {
@@ -54,12 +54,12 @@
         }
     }
 
-    /** Lines dropped so far and not yet told. */
+    /** Returns the number of dropped lines that were not logged yet. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Writes what waits, and ends. */
+    /** Writes the queued lines and stops the writer thread. */
     @Override
     public void close() throws InterruptedException {
         closing = true;
@@ -70,15 +70,15 @@
     private void run() {
         List<Line> batch = new ArrayList<>();
         while (true) {
-            boolean last = closing;
+            boolean lastBatch = closing;
             queue.drainTo(batch);
             writeAll(batch);
             batch.clear();
-            if (last) {
+            if (lastBatch) {
                 return;
             }
             try {
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(WRITE_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 closing = true;
             }
@@ -90,9 +90,9 @@
             for (Line line : batch) {
                 write(line);
             }
-            long lost = dropped.getAndSet(0);
-            if (lost > 0) {
-                write(new Line(System.currentTimeMillis(), "lines_dropped", List.of("count", lost)));
+            long droppedLines = dropped.getAndSet(0);
+            if (droppedLines > 0) {
+                write(new Line(System.currentTimeMillis(), "lines_dropped", List.of("count", droppedLines)));
             }
             if (!batch.isEmpty()) {
                 output.flush();
@@ -112,14 +112,14 @@
             for (int i = 0; i + 1 < line.fields().size(); i += 2) {
                 generator.writeObjectField(
                         String.valueOf(line.fields().get(i)),
-                        plain(line.fields().get(i + 1)));
+                        jsonValue(line.fields().get(i + 1)));
             }
             generator.writeEndObject();
         }
         output.write('\n');
     }
 
-    private static Object plain(Object value) {
+    private static Object jsonValue(Object value) {
         return value instanceof Number || value instanceof Boolean ? value : String.valueOf(value);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/log/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/log/package-info.java
@@ -1,4 +1,4 @@
-/** One line for each decision. */
+/** Structured log with one line for each decision. */
 @NullMarked
 package org.streamring.direct.log;
 
