--- a/core/src/main/java/org/streamring/kernel/prepaid/AccountHomes.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/AccountHomes.java
@@ -9,27 +9,34 @@
 import org.streamring.kernel.routing.RendezvousHash;
 
 /**
- * Which entries hold the leases of an account. In a small fleet all do; in a larger one a few, its home entries, since
- * the rests that many holders keep add up to more than the account has. The others borrow from them for each request.
+ * Selects the home entries of each account: the entries that hold its leases. In a small fleet, every entry is a home
+ * entry. In a larger fleet, only a few are, because the unused remainders kept by many holders add up to more tokens
+ * than the account has. The other entries borrow tokens from the home entries for each request.
  *
- * <p>Entries whose views of the fleet differ only ask the wrong ones. Confined to one thread.
+ * <p>If two entries see different fleet members, they may only ask the wrong entries for tokens; limits still hold.
+ * Confined to one thread.
  */
 public final class AccountHomes {
-    /** Up to this many entries all hold leases. */
-    private static final int SMALL_FLEET = 8;
+    /** Maximum size of a fleet in which every entry holds leases of every account. */
+    private static final int MAX_SMALL_FLEET_ENTRIES = 8;
 
-    /** One may die; each further one splits the rest of an account once more, and writes the same row. */
-    private static final int HOMES = 2;
+    /**
+     * Home entries per account in a larger fleet. Two tolerate the loss of one; each additional one splits the
+     * remaining tokens of an account once more and is another writer of the same row.
+     */
+    private static final int HOMES_PER_ACCOUNT = 2;
 
-    /** Up to this many entries all are connected to each other, so that any may hold leases. */
+    /**
+     * Maximum size of a fleet in which every entry is connected to every other one, so that any entry may hold leases.
+     */
     public static final int ALL_CONNECTED = 40;
 
     /**
-     * In a larger fleet this many entries hold leases, and all others are connected to them. A holder then answers some
-     * 60 asks a second for the 1,350 prepaid requests a second that 300 entries serve, and is a home of some three of
-     * forty accounts.
+     * Entries that may hold leases in a fleet of more than {@link #ALL_CONNECTED} entries; all other entries are
+     * connected to them. With 24 holders, each one answers about 60 token requests per second for the 1,350 prepaid
+     * requests per second that 300 entries serve, and is a home entry of about three of forty accounts.
      */
-    private static final int HOLDERS = 24;
+    private static final int HOLDER_COUNT = 24;
 
     private static final String HOLDERS_KEY = "holders";
 
@@ -39,7 +46,7 @@
     private Set<String> holders;
 
     /**
-     * Creates one that knows of no other entry.
+     * Creates a selection for a fleet in which no other entry is known yet.
      *
      * @param own name of this entry
      */
@@ -49,7 +56,11 @@
         this.holders = Set.of(own);
     }
 
-    /** Takes the names of the other live entries. */
+    /**
+     * Updates the live entries of the fleet.
+     *
+     * @param names names of the other live entries
+     */
     public void others(Collection<String> names) {
         TreeSet<String> all = new TreeSet<>(names);
         all.add(own);
@@ -60,32 +71,32 @@
         }
     }
 
-    /** Names of the entries among which all accounts' homes are. */
+    /** Returns the names of the entries that may be home entries of any account. */
     public Set<String> holders() {
         return holders;
     }
 
-    /** Whether this entry may be a home. */
+    /** Returns whether this entry may be a home entry of any account. */
     public boolean isHolder() {
         return holders.contains(own);
     }
 
-    /** Names of the entries that hold leases of an account. */
+    /** Returns the names of the home entries of an account. */
     public List<String> of(String account) {
-        return homes.computeIfAbsent(account, this::choose);
+        return homes.computeIfAbsent(account, this::chooseHomes);
     }
 
-    /** Whether this entry holds leases of an account. */
+    /** Returns whether this entry is a home entry of an account. */
     public boolean isHome(String account) {
         return of(account).contains(own);
     }
 
-    /** Whether the fleet is so small that all its entries hold leases of all accounts. */
+    /** Returns whether the fleet is so small that all its entries hold leases of all accounts. */
     public boolean allAreHomes() {
-        return entries.size() <= SMALL_FLEET;
+        return entries.size() <= MAX_SMALL_FLEET_ENTRIES;
     }
 
-    /** How large the leases of home entries are. */
+    /** Returns the sizing of the leases that home entries hold. */
     public LeaseShape shape() {
         return allAreHomes() ? LeaseShape.ALL_HOLD : LeaseShape.FEW_HOLD;
     }
@@ -94,12 +105,12 @@
         return entries.size() <= ALL_CONNECTED
                 ? entries
                 : RendezvousHash.order(HOLDERS_KEY, entries).stream()
-                        .limit(HOLDERS)
+                        .limit(HOLDER_COUNT)
                         .toList();
     }
 
-    private List<String> choose(String account) {
-        int count = allAreHomes() ? entries.size() : HOMES;
+    private List<String> chooseHomes(String account) {
+        int count = allAreHomes() ? entries.size() : HOMES_PER_ACCOUNT;
         return RendezvousHash.order(account, holders).stream().limit(count).toList();
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/AccountLease.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/AccountLease.java
@@ -3,67 +3,87 @@
 import java.time.Duration;
 
 /**
- * What this incarnation holds of one account, what it used of it, and what it lent to or borrowed from other entries.
+ * Lease of one account held by this incarnation: the granted tokens, the tokens used, and the tokens lent to or
+ * borrowed from other entries.
  *
- * <p>Durable are all that is granted, and a mark below it. Until the store has been silent for long, no more is used
- * than the mark, so that a successor may take back what lies between the two. Confined to one thread.
+ * <p>The store holds the granted amount and a usage cap below it. Until the store has been silent for the silence
+ * timeout, use stays within the cap, so that a successor can reclaim the tokens between the cap and the grant. Confined
+ * to one thread.
  */
 final class AccountLease {
-    /** Demand may rise until the next write. */
-    private static final double MARK_FACTOR = 1.3;
-    /** What is used until the next write is confirmed: an interval between writes, and one that is refused first. */
-    private static final double MILLIS_AT_ONCE = 600;
+    /** Allowance for demand that grows before the next write. */
+    private static final double DEMAND_GROWTH_FACTOR = 1.3;
+    /**
+     * Period whose demand the cap covers immediately: the interval until the next write, and one more if that write is
+     * rejected.
+     */
+    private static final double UNTIL_CONFIRMED_MILLIS = 600;
 
-    /** A single request makes room in a mark for at most one part in this many of the lease. */
-    private static final int PARTS_FOR_ONE_REQUEST = 4;
+    /** A single request raises a cap by at most the lease divided by this number. */
+    private static final int LARGEST_REQUEST_DIVISOR = 4;
 
-    /** Notes are sent five times a second; one or two of them may be lost. */
-    private static final double NOTED_AHEAD_MILLIS = 1_000;
+    /**
+     * Period of demand that is reported to witnesses ahead of its use. Reports are sent five times per second; the
+     * period tolerates the loss of one or two of them.
+     */
+    private static final double RECORDED_AHEAD_MILLIS = 1_000;
 
     private final DurableAmount granted = new DurableAmount();
-    private final DurableMark mark = new DurableMark();
+    private final DurableUsageCap usageCap = new DurableUsageCap();
     private long spent;
     private long reserved;
     private long lent;
     private long borrowed;
     private long waiting;
-    private long largest;
-    private long sampledUse;
+    private long largestRequest;
+    private long sampledTokens;
     private long sampledMillis = -1;
     private double tokensPerMilli;
 
-    /** Tokens that the store holds for this incarnation, whatever becomes of the writes in progress. */
+    /**
+     * Returns the granted tokens that the store holds for this incarnation under every possible outcome of the writes
+     * in progress.
+     */
     long granted() {
         return granted.usable();
     }
 
-    /** Tokens that can be reserved at once. */
+    /**
+     * Returns the tokens that can be reserved now.
+     *
+     * @param usable tokens of the grant that may be used now
+     */
     long available(long usable) {
         return usable - used();
     }
 
-    /** Tokens of the grant that may be used while the marks bind. */
-    long usableBelowMark(StoreSilence silence) {
-        return Math.min(granted.usable(), mark.usable(silence));
+    /** Returns the tokens of the grant that may be used before the silence timeout. */
+    long usableWithinCap(StoreSilence sinceConfirmedWrite) {
+        return Math.min(granted.usable(), usageCap.usable(sinceConfirmedWrite));
     }
 
-    /** Tokens of the grant that may be used once the marks no longer bind. */
-    long usableBeyondMark(StoreSilence silence) {
-        return silence.released(mark.least(), granted.usable());
+    /** Returns the tokens of the grant that may be used after the silence timeout. */
+    long usableAfterTimeout(StoreSilence sinceConfirmedWrite) {
+        return sinceConfirmedWrite.released(usageCap.lowest(), granted.usable());
     }
 
-    /** Tokens of the grant that may be used once the marks no longer bind, up to those noted at a witness. */
-    long usableUpTo(long noted, StoreSilence silence) {
-        return Math.min(usableBeyondMark(silence), Math.max(mark.least().atPatience(), noted));
+    /**
+     * Returns the tokens of the grant that may be used after the silence timeout, limited by the tokens recorded at a
+     * witness.
+     */
+    long usableWithRecord(long recorded, StoreSilence sinceConfirmedWrite) {
+        return Math.min(
+                usableAfterTimeout(sinceConfirmedWrite),
+                Math.max(usageCap.lowest().atPatience(), recorded));
     }
 
-    /** What is to be noted at the witnesses, so that requests of the next moments find tokens. */
-    long wantedNote() {
-        double soon = tokensPerMilli * MARK_FACTOR * NOTED_AHEAD_MILLIS;
-        return Math.min(granted.usable(), used() + (long) soon + waiting);
+    /** Returns the tokens to report to the witnesses, so that tokens are available to requests of the next second. */
+    long tokensToRecord() {
+        double upcomingUse = tokensPerMilli * DEMAND_GROWTH_FACTOR * RECORDED_AHEAD_MILLIS;
+        return Math.min(granted.usable(), used() + (long) upcomingUse + waiting);
     }
 
-    /** Tokens of the grant that are used; negative while less is used than was borrowed. */
+    /** Returns the tokens of the grant that are used; negative while less is used than was borrowed. */
     long used() {
         return spent + reserved + lent - borrowed;
     }
@@ -77,7 +97,7 @@
     }
 
     boolean tryReserve(long tokens, long usable) {
-        largest = Math.max(largest, tokens);
+        largestRequest = Math.max(largestRequest, tokens);
         if (available(usable) < tokens) {
             return false;
         }
@@ -90,9 +110,9 @@
         spent += Math.min(usedTokens, reservedTokens);
     }
 
-    /** Notes what another entry asked for. */
-    void asked(long tokens) {
-        largest = Math.max(largest, tokens);
+    /** Takes the size of another entry's request for tokens into account when sizing the lease. */
+    void noteLoanRequest(long tokens) {
+        largestRequest = Math.max(largestRequest, tokens);
     }
 
     void lend(long tokens) {
@@ -103,31 +123,31 @@
         borrowed += tokens;
     }
 
-    void proposed(long newGranted, Mark newMark) {
+    void proposed(long newGranted, Mark newCap) {
         granted.proposed(newGranted);
-        mark.proposed(newMark);
+        usageCap.proposed(newCap);
     }
 
-    void confirmed(long newGranted, Mark newMark) {
+    void confirmed(long newGranted, Mark newCap) {
         granted.confirmed(newGranted);
-        mark.confirmed(newMark);
+        usageCap.confirmed(newCap);
     }
 
     void refused() {
         granted.refused();
-        mark.refused();
+        usageCap.refused();
     }
 
     /**
-     * Notes that the outcome of a write is not known.
+     * Notes that the outcome of a write is unknown.
      *
-     * @param rowChanged whether it changed the account's row; if not, what is granted is still known
+     * @param rowChanged whether the write included the account's row; if not, the granted amount is still known
      */
     void unanswered(boolean rowChanged) {
         if (rowChanged) {
             granted.unanswered();
         }
-        mark.unanswered();
+        usageCap.unanswered();
     }
 
     boolean uncertain() {
@@ -138,63 +158,75 @@
         long use = spent + reserved + lent;
         if (sampledMillis < 0) {
             sampledMillis = nowMillis;
-            sampledUse = use;
+            sampledTokens = use;
             return;
         }
         long elapsed = nowMillis - sampledMillis;
         if (elapsed <= 0) {
             return;
         }
-        double rate = Math.max(0, use - sampledUse) / (double) elapsed;
+        double rate = Math.max(0, use - sampledTokens) / (double) elapsed;
         double weight = 1 - Math.exp(-elapsed / (double) window.toMillis());
         tokensPerMilli += weight * (rate - tokensPerMilli);
         sampledMillis = nowMillis;
-        sampledUse = use;
+        sampledTokens = use;
     }
 
-    /** Tokens that should be at hand by the demand, out of those that are at hand or unheld. */
-    long needed(long pool, int holders, PrepaidSettings settings) {
+    /**
+     * Returns the tokens that should be available to cover demand.
+     *
+     * @param pool tokens that are available here or held by no entry; the result does not exceed them
+     * @param holders live entries that hold leases of the account
+     */
+    long neededByDemand(long pool, int holders, PrepaidSettings settings) {
         long share = share(pool, holders);
         double demand = tokensPerMilli * settings.cover().toMillis();
         double idle = share * settings.idleShare();
-        long target = (long) Math.max(demand + Math.min((double) largest, demand), idle);
-        return Math.max(Math.min(target, share), wantedByWaiting(pool));
+        long demandTarget = (long) Math.max(demand + Math.min((double) largestRequest, demand), idle);
+        return Math.max(Math.min(demandTarget, share), wantedByWaiting(pool));
     }
 
     /**
-     * Tokens that should be at hand, out of those that are at hand or unheld.
+     * Returns the tokens that should be available: those needed by demand, or the idle share of the lease if that is
+     * more.
      *
-     * @param needed tokens that should be at hand by the demand
+     * @param neededByDemand tokens needed to cover demand
+     * @param pool tokens that are available here or held by no entry
      */
-    static long wanted(long needed, long pool, int holders, LeaseShape shape) {
-        return Math.max(needed, (long) (share(pool, holders) * shape.idleShare()));
+    static long target(long neededByDemand, long pool, int holders, LeaseShape shape) {
+        return Math.max(neededByDemand, (long) (share(pool, holders) * shape.idleShare()));
     }
 
     private static long share(long pool, int holders) {
         return Math.max(0, pool / Math.max(1, holders));
     }
 
-    /** Tokens that requests wait for, out of those that are at hand or unheld. */
+    /**
+     * Returns the tokens that requests wait for.
+     *
+     * @param pool tokens that are available here or held by no entry; the result does not exceed them
+     */
     long wantedByWaiting(long pool) {
         return Math.min(waiting, Math.max(0, pool));
     }
 
     /**
-     * The mark of a lease.
+     * Returns the usage cap of a lease.
      *
-     * @param needed tokens that should be at hand by the demand
-     * @param wanted tokens at hand
+     * @param neededByDemand tokens needed to cover demand
+     * @param target tokens that are available after the write
      */
-    Mark markFor(long needed, long wanted, PrepaidSettings settings, LeaseShape shape) {
-        double oneRequest = shape.partOfLargest() * Math.min((double) largest, wanted / (double) PARTS_FOR_ONE_REQUEST);
-        double untilNextWrite = tokensPerMilli * MARK_FACTOR * MILLIS_AT_ONCE + oneRequest;
-        double part = Math.min(needed, wanted) * settings.markShare();
-        double atOnce = Math.max(Math.max(untilNextWrite, part), (double) waiting);
-        double byDemand =
-                tokensPerMilli * shape.riseFactor() * settings.patience().toMillis() + oneRequest;
-        double rise = Math.max(byDemand, wanted * shape.leastRise());
+    Mark usageCapFor(long neededByDemand, long target, PrepaidSettings settings, LeaseShape shape) {
+        double largestRequestPart = shape.largestRequestShare()
+                * Math.min((double) largestRequest, target / (double) LARGEST_REQUEST_DIVISOR);
+        double untilConfirmed = tokensPerMilli * DEMAND_GROWTH_FACTOR * UNTIL_CONFIRMED_MILLIS + largestRequestPart;
+        double minimumPart = Math.min(neededByDemand, target) * settings.markShare();
+        double atOnce = Math.max(Math.max(untilConfirmed, minimumPart), (double) waiting);
+        double riseByDemand =
+                tokensPerMilli * shape.capGrowthFactor() * settings.patience().toMillis() + largestRequestPart;
+        double capRise = Math.max(riseByDemand, target * shape.minCapShare());
         long used = used();
-        long atPatience = used + (long) Math.max(atOnce, rise);
-        return new Mark(used, used + (long) atOnce, atPatience).atMost(used + wanted);
+        long atPatience = used + (long) Math.max(atOnce, capRise);
+        return new Mark(used, used + (long) atOnce, atPatience).atMost(used + target);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableAmount.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableAmount.java
@@ -1,14 +1,14 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * An amount that is kept in the store, as far as it can be relied on here.
+ * Lower bound of an amount kept in the store, while writes of it are in progress.
  *
- * <p>Never more than the store holds under any outcome of the writes in progress: it shrinks when a smaller one is
- * proposed and grows when a larger one is confirmed.
+ * <p>The bound never exceeds the stored amount under any outcome of these writes: it decreases when a smaller amount is
+ * sent and increases when a larger one is confirmed.
  */
 final class DurableAmount {
     private long usable;
-    private long durable;
+    private long confirmedValue;
     private boolean uncertain;
 
     long usable() {
@@ -25,14 +25,14 @@
 
     void confirmed(long amount) {
         usable = amount;
-        durable = amount;
+        confirmedValue = amount;
         uncertain = false;
     }
 
-    /** The write in progress did not take effect; an older one without an answer may still do so. */
+    /** Notes that the last write did not take effect; an earlier one of unknown outcome may still do so. */
     void refused() {
         if (!uncertain) {
-            usable = durable;
+            usable = confirmedValue;
         }
     }
 
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableRelease.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableRelease.java
@@ -1,52 +1,51 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * Until when an incarnation's grants are released while the store is silent, as far as the marks row that is in force
- * can be known here.
+ * Time without a confirmed write after which all of a grant may be used, while writes of that time are in progress.
  *
- * <p>A successor reckons with the time that the row tells. While the outcome of a write is not known, the latest of
- * those that may be in force counts, as it releases most slowly. Confined to one thread.
+ * <p>A successor calculates with the time in the stored row. While the outcome of a write is unknown, the longest time
+ * that the stored row may contain applies, as it releases tokens most slowly. Confined to one thread.
  */
 public final class DurableRelease {
-    private long usableMillis;
-    private long durableMillis;
+    private long releaseMillis;
+    private long confirmedMillis;
     private boolean uncertain;
 
     /**
-     * Creates one before the first row.
+     * Creates the state before the first row is written.
      *
      * @param initialMillis time since the last confirmed write, in milliseconds
      */
     DurableRelease(long initialMillis) {
-        this.usableMillis = initialMillis;
-        this.durableMillis = initialMillis;
+        this.releaseMillis = initialMillis;
+        this.confirmedMillis = initialMillis;
     }
 
-    /** Time since the last confirmed write at which all of a grant may be used, in milliseconds. */
-    long usableMillis() {
-        return usableMillis;
+    /** Returns the time since the last confirmed write after which all of a grant may be used, in milliseconds. */
+    long releaseMillis() {
+        return releaseMillis;
     }
 
-    /** Notes that a row was sent. */
+    /** Notes that a row with this time was sent. */
     public void proposed(long millis) {
-        usableMillis = Math.max(usableMillis, millis);
+        releaseMillis = Math.max(releaseMillis, millis);
     }
 
-    /** Notes that a row is in force. */
+    /** Notes that a row with this time was confirmed. */
     public void confirmed(long millis) {
-        usableMillis = millis;
-        durableMillis = millis;
+        releaseMillis = millis;
+        confirmedMillis = millis;
         uncertain = false;
     }
 
-    /** Notes that the row last sent did not take effect; an older one without an answer may still do so. */
+    /** Notes that the last row sent did not take effect; an earlier one of unknown outcome may still do so. */
     public void refused() {
         if (!uncertain) {
-            usableMillis = durableMillis;
+            releaseMillis = confirmedMillis;
         }
     }
 
-    /** Notes that nobody knows whether the row last sent took effect. */
+    /** Notes that the outcome of the last row sent is unknown. */
     public void unanswered() {
         uncertain = true;
     }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableRise.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableRise.java
@@ -1,46 +1,50 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * Since when an incarnation's marks rise, as far as the marks row that is in force can be known here.
+ * Time from which the usage caps of an incarnation rise, while writes of the row that contains them are in progress.
  *
- * <p>A row tells the time at which it was sent itself. Until the outcome of that write is known the later time counts,
- * as the row may be in force; while it is not known at all, further rows tell the same time, so that marks go on rising
- * through an outage. Rows that told the time of the write before left a successor an interval between writes more in
- * which a dead incarnation may have used its leases: 0.85 s of 3.2 s before 30 entries. Confined to one thread.
+ * <p>Each row contains the time at which it is sent. Until the outcome of a write is known, the later time applies,
+ * because the new row may already be in the store. While an outcome is unknown, further rows repeat the same time, so
+ * that the caps continue to rise during a store outage. If a row contained the time of the previous write instead, a
+ * successor would have to assume that a dead incarnation used its leases for one more write interval: 0.85 s of 3.2 s
+ * with 30 entries. Confined to one thread.
  */
 public final class DurableRise {
     private RiseStart usable;
-    private RiseStart durable;
+    private RiseStart confirmedValue;
     private boolean uncertain;
 
     /**
-     * The time at which a row was sent.
+     * Time at which a row was sent.
      *
-     * @param localMillis on this process's steady clock
-     * @param storeMillis on the clock of the store, or before
+     * @param localMillis on the monotonic clock of this process
+     * @param storeMillis on the clock of the store, or earlier
      */
     public record RiseStart(long localMillis, long storeMillis) {}
 
-    /** Creates one before the first row. */
+    /** Creates the state before the first row is written. */
     public DurableRise() {
         this.usable = new RiseStart(0, 0);
-        this.durable = usable;
+        this.confirmedValue = usable;
     }
 
-    /** The latest time that a row which may be in force tells. */
+    /** Returns the latest time that the stored row may contain. */
     public RiseStart usable() {
         return usable;
     }
 
-    /** The time that the row tells which was confirmed last. */
+    /**
+     * Returns the time contained in the last confirmed row; while an outcome is unknown, the latest time that the
+     * stored row may contain.
+     */
     public RiseStart inForce() {
-        return uncertain ? usable : durable;
+        return uncertain ? usable : confirmedValue;
     }
 
     /**
      * Notes that a row is sent now.
      *
-     * @return what the row has to tell
+     * @return the time to write to the row
      */
     public RiseStart proposed(RiseStart now) {
         if (!uncertain) {
@@ -49,20 +53,20 @@
         return usable;
     }
 
-    /** Notes that the row last sent is in force. */
+    /** Notes that the last row sent was confirmed. */
     public void confirmed() {
-        durable = usable;
+        confirmedValue = usable;
         uncertain = false;
     }
 
-    /** Notes that the row last sent did not take effect; an older one without an answer may still do so. */
+    /** Notes that the last row sent did not take effect; an earlier one of unknown outcome may still do so. */
     public void refused() {
         if (!uncertain) {
-            usable = durable;
+            usable = confirmedValue;
         }
     }
 
-    /** Notes that nobody knows whether the row last sent took effect. */
+    /** Notes that the outcome of the last row sent is unknown. */
     public void unanswered() {
         uncertain = true;
     }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableWitnesses.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableWitnesses.java
@@ -4,53 +4,56 @@
 import java.util.Set;
 
 /**
- * The other entries that witness this incarnation's use beyond its marks, as far as the marks row that is in force can
- * be known here.
+ * Other entries that record this incarnation's use above its usage caps, while writes of the row that names them are in
+ * progress.
  *
- * <p>A successor asks the witnesses that the row names. While the outcome of a write is not known, only those count
- * that are named before and after it. Confined to one thread.
+ * <p>A successor asks the witnesses named in the stored row. While the outcome of a write is unknown, only the
+ * witnesses named both before and after the write can be relied on. Confined to one thread.
  */
 public final class DurableWitnesses {
     private Set<String> usable = Set.of();
-    private Set<String> durable = Set.of();
-    private boolean mayBeNamed;
+    private Set<String> confirmedValue = Set.of();
+    private boolean anyMayBeNamed;
     private boolean uncertain;
 
-    /** Incarnations of entries whose notes a successor finds whatever became of the writes in progress. */
+    /**
+     * Returns the incarnations of the witnesses that the stored row names under every possible outcome of the writes in
+     * progress, so that a successor finds their records.
+     */
     public Set<String> usable() {
         return usable;
     }
 
-    /** Whether no row that may be in force names a witness, so that a successor takes nothing back. */
-    boolean none() {
-        return !mayBeNamed;
+    /** Returns whether the stored row certainly names no witness, so that a successor reclaims nothing. */
+    boolean noneNamed() {
+        return !anyMayBeNamed;
     }
 
-    /** Notes that a row was sent. */
+    /** Notes that a row with these witnesses was sent. */
     public void proposed(Set<String> witnesses) {
-        Set<String> both = new HashSet<>(usable);
-        both.retainAll(witnesses);
-        usable = Set.copyOf(both);
-        mayBeNamed |= !witnesses.isEmpty();
+        Set<String> namedInBoth = new HashSet<>(usable);
+        namedInBoth.retainAll(witnesses);
+        usable = Set.copyOf(namedInBoth);
+        anyMayBeNamed |= !witnesses.isEmpty();
     }
 
-    /** Notes that a row is in force. */
+    /** Notes that a row with these witnesses was confirmed. */
     public void confirmed(Set<String> witnesses) {
         usable = Set.copyOf(witnesses);
-        durable = usable;
-        mayBeNamed = !usable.isEmpty();
+        confirmedValue = usable;
+        anyMayBeNamed = !usable.isEmpty();
         uncertain = false;
     }
 
-    /** Notes that the row last sent did not take effect; an older one without an answer may still do so. */
+    /** Notes that the last row sent did not take effect; an earlier one of unknown outcome may still do so. */
     public void refused() {
         if (!uncertain) {
-            usable = durable;
-            mayBeNamed = !usable.isEmpty();
+            usable = confirmedValue;
+            anyMayBeNamed = !usable.isEmpty();
         }
     }
 
-    /** Notes that nobody knows whether the row last sent took effect. */
+    /** Notes that the outcome of the last row sent is unknown. */
     public void unanswered() {
         uncertain = true;
     }
--- a/core/src/main/java/org/streamring/kernel/prepaid/Holding.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/Holding.java
@@ -1,9 +1,9 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * What one incarnation of an entry holds of an account's prepaid tokens.
+ * Prepaid tokens of an account held by one incarnation of an entry.
  *
- * @param granted tokens that it may have spent in all; counted as used until it gives them back
- * @param spent tokens that it had spent or reserved when it last wrote
+ * @param granted maximum number of tokens that the incarnation may have spent; counted as used until returned
+ * @param spent tokens that the incarnation had spent or reserved at its last write
  */
 public record Holding(long granted, long spent) {}
--- a/core/src/main/java/org/streamring/kernel/prepaid/LeaseState.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/LeaseState.java
@@ -1,13 +1,13 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * What an incarnation has of an account at a moment. All amounts are in tokens and count from its start, but for the
- * last one.
+ * Snapshot of the lease that an incarnation holds on an account. All amounts are in tokens. All but {@code waiting} are
+ * totals since the start of the incarnation.
  *
- * @param granted what the store holds for it, whatever becomes of the writes in progress
- * @param used what it spent, reserved or lent, less what it borrowed
- * @param usable what it may use now
- * @param usableOnceNoted what it may use once witnesses have noted it
- * @param waiting what requests and other entries wait for
+ * @param granted tokens that the store holds for it under every possible outcome of the writes in progress
+ * @param used tokens spent, reserved or lent, minus the tokens borrowed
+ * @param usable tokens that it may use now
+ * @param usableOnceNoted tokens that it may use once witnesses have recorded them
+ * @param waiting tokens that requests and other entries wait for
  */
 public record LeaseState(long granted, long used, long usable, long usableOnceNoted, long waiting) {}
--- a/core/src/main/java/org/streamring/kernel/prepaid/Mark.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/Mark.java
@@ -1,47 +1,51 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * How much of a grant an incarnation may have used, by the time since its last confirmed write: a first amount, and
- * from where a line with the slope of its demand exceeds it, that line, until the incarnation's patience with a silent
- * store is over.
+ * Usage cap of a grant: the tokens that an incarnation may have used, as a function of the time since its last
+ * confirmed write. The cap is constant at first. From the point where a line with the slope of the demand exceeds it,
+ * the cap follows that line until the silence timeout.
  *
- * <p>Beyond the patience the rest of the grant is released evenly, until the time of demand for which it was sized. The
- * sooner a successor starts, the more it can take back, also where nobody is left to tell what was used.
+ * <p>After the silence timeout, the remainder of the grant is released evenly until the end of the period of demand for
+ * which the grant was sized. The sooner a successor starts, the more tokens it can reclaim, even if no witness remains
+ * that recorded the use.
  *
- * @param start tokens that were used when the write was planned, where the line begins
- * @param atOnce tokens that may be used when the write was sent; not less than the start
- * @param atPatience tokens that may be used at the end of the patience; not less
+ * @param start tokens used when the write was planned; the line begins there
+ * @param atOnce tokens that may be used when the write was sent; at least {@code start}
+ * @param atPatience tokens that may be used at the end of the silence timeout; at least {@code atOnce}
  */
 public record Mark(long start, long atOnce, long atPatience) {
-    /** A mark that does not rise. */
+    /** Returns a usage cap that does not rise. */
     public static Mark of(long tokens) {
         return new Mark(tokens, tokens, tokens);
     }
 
-    /** This mark, but nowhere above a limit. */
+    /** Returns this usage cap, reduced to a limit where it exceeds the limit. */
     public Mark atMost(long limit) {
         return new Mark(Math.min(start, limit), Math.min(atOnce, limit), Math.min(atPatience, limit));
     }
 
     /**
-     * Tokens that may be used.
+     * Returns the tokens that may be used before the silence timeout.
      *
-     * @param elapsedMillis time since the write was sent; less than the patience
+     * @param elapsedMillis time since the write was sent; less than the silence timeout
+     * @param silenceTimeoutMillis silence timeout
      */
-    public long after(long elapsedMillis, long patienceMillis) {
-        double part = Math.max(0, Math.min(1, elapsedMillis / (double) patienceMillis));
-        return Math.max(atOnce, start + (long) ((atPatience - start) * part));
+    public long after(long elapsedMillis, long silenceTimeoutMillis) {
+        double elapsedPart = Math.max(0, Math.min(1, elapsedMillis / (double) silenceTimeoutMillis));
+        return Math.max(atOnce, start + (long) ((atPatience - start) * elapsedPart));
     }
 
     /**
-     * Tokens of a grant that may be used after the patience.
+     * Returns the tokens of a grant that may be used after the silence timeout.
      *
      * @param elapsedMillis time since the last confirmed write was sent
-     * @param coverMillis time after which all of the grant may be used; more than the patience
+     * @param silenceTimeoutMillis silence timeout
+     * @param fullReleaseMillis time after which all of the grant may be used; more than the silence timeout
      */
-    public long released(long granted, long elapsedMillis, long patienceMillis, long coverMillis) {
-        double part = (elapsedMillis - patienceMillis) / (double) (coverMillis - patienceMillis);
-        double rest = Math.max(0, granted - atPatience) * Math.max(0, Math.min(1, part));
-        return Math.min(granted, atPatience + (long) rest);
+    public long released(long granted, long elapsedMillis, long silenceTimeoutMillis, long fullReleaseMillis) {
+        double elapsedPart =
+                (elapsedMillis - silenceTimeoutMillis) / (double) (fullReleaseMillis - silenceTimeoutMillis);
+        double releasedTokens = Math.max(0, granted - atPatience) * Math.max(0, Math.min(1, elapsedPart));
+        return Math.min(granted, atPatience + (long) releasedTokens);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/MarkRow.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/MarkRow.java
@@ -4,64 +4,71 @@
 import java.util.Set;
 
 /**
- * The marks of one incarnation: up to where it may have used its grants.
+ * Row with the usage caps of one incarnation.
  *
- * @param incarnation whose marks they are
- * @param confirmedMillis time of the store at which its last confirmed write was sent, or before; its marks rise from
- *     then on, until it is out of patience
- * @param marks marks by account
- * @param witnesses incarnations of other entries; once it is out of patience it uses nothing beyond its marks that it
- *     has not noted at one of them
- * @param coverMillis time since its last confirmed write until which its grants are released evenly; 0 if it may use
- *     all of them as soon as it is out of patience, as processes of older versions do
+ * @param incarnation incarnation that the caps apply to
+ * @param confirmedMillis time, on the clock of the store, at which its last confirmed write was sent, or earlier; its
+ *     caps rise from then until the silence timeout
+ * @param marks usage caps by account
+ * @param witnesses incarnations of other entries; after the silence timeout, the incarnation uses no tokens above its
+ *     caps that are not recorded at one of them
+ * @param coverMillis time since the last confirmed write over which its grants are released evenly; 0 if it may use all
+ *     of them after the silence timeout, as processes of older versions do
  */
 public record MarkRow(
         String incarnation, long confirmedMillis, Map<String, Mark> marks, Set<String> witnesses, long coverMillis) {
-    /** Copies map and set. */
+    /** Copies the map and the set. */
     public MarkRow {
         marks = Map.copyOf(marks);
         witnesses = Set.copyOf(witnesses);
     }
 
     /**
-     * Whether this incarnation used nothing beyond its marks, as it ended before its patience did.
+     * Returns whether this incarnation used no tokens above its caps, because it ended before its silence timeout.
      *
-     * @param successorStartMillis time of the store at which its successor on the same box started, or later
+     * @param successorStartMillis time, on the clock of the store, at which its successor on the same box started, or
+     *     later
+     * @param silenceTimeoutMillis silence timeout
      */
-    public boolean heldBy(long successorStartMillis, long patienceMillis) {
-        return successorStartMillis - confirmedMillis < patienceMillis;
+    public boolean heldBy(long successorStartMillis, long silenceTimeoutMillis) {
+        return successorStartMillis - confirmedMillis < silenceTimeoutMillis;
     }
 
     /**
-     * What is used at most of an account by an incarnation that ran out of patience.
+     * Returns the maximum number of tokens of an account used by an incarnation that reached its silence timeout.
      *
-     * @param noted the most that it noted at any of its witnesses, all of which were asked
+     * @param recorded maximum number of tokens recorded at any of its witnesses, all of which answered
      */
-    public long usedAtMost(String account, long granted, long noted) {
-        Mark mark = marks.getOrDefault(account, Mark.of(granted));
-        return Math.min(granted, Math.max(mark.atPatience(), noted));
+    public long usedAtMost(String account, long granted, long recorded) {
+        Mark cap = marks.getOrDefault(account, Mark.of(granted));
+        return Math.min(granted, Math.max(cap.atPatience(), recorded));
     }
 
     /**
-     * What is used at most of an account by an incarnation that ran out of patience, whatever it noted.
+     * Returns the maximum number of tokens of an account used by an incarnation that reached its silence timeout,
+     * regardless of the records at its witnesses.
      *
-     * @param successorStartMillis time of the store at which its successor on the same box started, or later
+     * @param successorStartMillis time, on the clock of the store, at which its successor on the same box started, or
+     *     later
+     * @param silenceTimeoutMillis silence timeout
      */
-    public long releasedAtMost(String account, long granted, long successorStartMillis, long patienceMillis) {
-        if (coverMillis <= patienceMillis) {
+    public long releasedAtMost(String account, long granted, long successorStartMillis, long silenceTimeoutMillis) {
+        if (coverMillis <= silenceTimeoutMillis) {
             return granted;
         }
-        Mark mark = marks.getOrDefault(account, Mark.of(granted));
-        return mark.released(granted, successorStartMillis - confirmedMillis, patienceMillis, coverMillis);
+        Mark cap = marks.getOrDefault(account, Mark.of(granted));
+        return cap.released(granted, successorStartMillis - confirmedMillis, silenceTimeoutMillis, coverMillis);
     }
 
     /**
-     * What is used for sure at most of an account, if the marks were held.
+     * Returns the maximum number of tokens of an account used by an incarnation that stayed within its usage caps.
      *
-     * @param successorStartMillis time of the store at which its successor on the same box started, or later
+     * @param successorStartMillis time, on the clock of the store, at which its successor on the same box started, or
+     *     later
+     * @param silenceTimeoutMillis silence timeout
      */
-    public long usedAtMost(String account, long granted, long successorStartMillis, long patienceMillis) {
-        Mark mark = marks.getOrDefault(account, Mark.of(granted));
-        return Math.min(granted, mark.after(successorStartMillis - confirmedMillis, patienceMillis));
+    public long usedAtMost(String account, long granted, long successorStartMillis, long silenceTimeoutMillis) {
+        Mark cap = marks.getOrDefault(account, Mark.of(granted));
+        return Math.min(granted, cap.after(successorStartMillis - confirmedMillis, silenceTimeoutMillis));
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/PrepaidBook.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/PrepaidBook.java
@@ -7,66 +7,69 @@
 import java.util.Optional;
 
 /**
- * This incarnation's leases of prepaid tokens, and the plan for their renewal.
+ * Leases of prepaid tokens held by this incarnation, and the planning of their renewal.
  *
- * <p>A request reserves its worst case before it runs; afterwards it settles what it used. The book spends only what is
- * durably leased to this incarnation, or was lent by another entry out of its own lease. A lease that grows is
- * usable once its write is confirmed, one that shrinks is smaller from the moment its write is proposed. Confined to
- * one thread.
+ * <p>A request reserves its worst case before it runs and settles its actual use afterwards. Only tokens that are
+ * durably leased to this incarnation, or that another entry lent out of its own lease, are spent. A larger lease is
+ * usable after its write is confirmed; a smaller one applies as soon as its write is proposed. Confined to one thread.
  */
 public final class PrepaidBook {
-    private static final double LOW_PART = 0.7;
-    private static final double HIGH_PART = 1.4;
-    /** Besides what is asked for, at most one part in this many is lent, to save further questions. */
-    private static final int SPARE_PARTS = 4;
-
-    private static final int SMALL_CHANGE_TOKENS = 500;
-    /** What an entry that holds no leases keeps of the tokens that it borrowed, at most: a short prompt. */
-    private static final long MOST_KEPT_TOKENS = 2_000;
+    private static final double MIN_TARGET_SHARE = 0.7;
+    private static final double MAX_TARGET_SHARE = 1.4;
     /**
-     * All that such entries keep of an account is at most one part in this many of its limit. With 2,000 tokens kept by
-     * each of 33 entries, 34 in 1,000 of the requests that the limits allowed were refused as they ran out.
+     * Besides the requested tokens, at most the available tokens divided by this number are lent, to save further
+     * requests.
      */
-    private static final int PARTS_KEPT = 50;
+    private static final int SPARE_DIVISOR = 4;
+
+    private static final int MIN_CHANGE_TOKENS = 500;
+    /** Maximum number of borrowed tokens that an entry without leases keeps: the size of a short prompt. */
+    private static final long MAX_KEPT_TOKENS = 2_000;
+    /**
+     * All entries without leases together keep at most the limit of an account divided by this number. With 2,000
+     * tokens kept by each of 33 entries, 34 in 1,000 of the requests that the limits allowed were refused near the end
+     * of the limits.
+     */
+    private static final int KEPT_LIMIT_DIVISOR = 50;
 
     private final String incarnation;
     private final PrepaidSettings settings;
     private final Map<String, AccountLease> leases = new HashMap<>();
     private final DurableWitnesses witnesses = new DurableWitnesses();
-    private final Map<String, Map<String, Long>> notedAt = new HashMap<>();
+    private final Map<String, Map<String, Long>> recordedByWitness = new HashMap<>();
     private final DurableRelease release;
     private long newestMillis;
-    private long inForceMillis;
-    private boolean releasing;
+    private long confirmedMillis;
+    private boolean shrinking;
 
-    /** How a reservation ended. */
+    /** Result of a reservation. */
     public enum Outcome {
         /** The tokens are reserved. */
         RESERVED,
-        /** The lease is too small at the moment. */
+        /** The lease currently has too few tokens. */
         SHORT
     }
 
     /**
-     * What the book wants written of one account.
+     * Planned write for one account.
      *
      * @param account account
-     * @param row the account's row after the change; empty if it stays as it is
-     * @param granted what this incarnation holds after the change
-     * @param mark its mark after the change
+     * @param row the account's row after the change; empty if it does not change
+     * @param granted tokens held by this incarnation after the change
+     * @param mark usage cap after the change
      */
     public record Proposal(String account, Optional<PrepaidRow> row, long granted, Mark mark) {
-        /** This proposal, which writes the given row if it would write none. */
+        /** Returns this proposal; if it does not change the row, one that writes the given row. */
         public Proposal orElseWrite(PrepaidRow other) {
             return row.isPresent() ? this : new Proposal(account, Optional.of(other), granted, mark);
         }
     }
 
     /**
-     * Creates an empty book.
+     * Creates an instance without leases.
      *
-     * @param incarnation identifier of this process, unlike that of every other
-     * @param settings how large leases are
+     * @param incarnation identifier of this process, different from that of every other process
+     * @param settings sizing of leases
      */
     public PrepaidBook(String incarnation, PrepaidSettings settings) {
         this.incarnation = incarnation;
@@ -74,18 +77,18 @@
         this.release = new DurableRelease(settings.cover().toMillis());
     }
 
-    /** Whose leases these are. */
+    /** Returns the incarnation that holds these leases. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** How large leases are. */
+    /** Returns the sizing of leases. */
     public PrepaidSettings settings() {
         return settings;
     }
 
     /**
-     * Says for how long the store has confirmed no write.
+     * Sets the time since the last confirmed write.
      *
      * @param elapsedMillis time since the last confirmed write was sent, or less
      */
@@ -94,76 +97,80 @@
     }
 
     /**
-     * Says for how long the store has confirmed no write.
+     * Sets the time without a confirmed write.
      *
-     * @param newestMillis time since the newest write was sent that may have taken effect, or less
-     * @param inForceMillis time since the last confirmed write was sent, or less; not less than the time before
+     * @param newestMillis time since the newest write that may have taken effect was sent, or less
+     * @param confirmedMillis time since the last confirmed write was sent, or less; at least {@code newestMillis}
      */
-    public void storeSilentFor(long newestMillis, long inForceMillis) {
+    public void storeSilentFor(long newestMillis, long confirmedMillis) {
         this.newestMillis = newestMillis;
-        this.inForceMillis = inForceMillis;
+        this.confirmedMillis = confirmedMillis;
     }
 
-    private StoreSilence silence() {
-        return new StoreSilence(newestMillis, inForceMillis, settings.patience().toMillis(), release.usableMillis());
+    private StoreSilence sinceConfirmedWrite() {
+        return new StoreSilence(
+                newestMillis, confirmedMillis, settings.patience().toMillis(), release.releaseMillis());
     }
 
-    /** Until when leases are released while the store is silent. */
+    /** Returns the time over which leases are released while the store does not confirm writes. */
     public DurableRelease release() {
         return release;
     }
 
-    /** Who witnesses what is used beyond the marks. */
+    /** Returns the witnesses that record use above the usage caps. */
     public DurableWitnesses witnesses() {
         return witnesses;
     }
 
-    /** Whether tokens can be used only after they are noted at a witness. */
+    /** Returns whether tokens can be used only after a witness has recorded them. */
     public boolean needsNotes() {
-        return silence().outOfPatience() && !witnesses.none();
+        return sinceConfirmedWrite().silenceTimeoutElapsed() && !witnesses.noneNamed();
     }
 
-    /** What should be noted at the witnesses: tokens of the grants that may be used, by account. */
+    /** Returns the tokens of the grants to report to the witnesses, by account. */
     public Map<String, Long> wantedNotes() {
-        Map<String, Long> wanted = new HashMap<>();
+        Map<String, Long> toRecord = new HashMap<>();
         leases.forEach((account, lease) -> {
-            if (lease.usableBeyondMark(silence()) > 0) {
-                wanted.put(account, lease.wantedNote());
+            if (lease.usableAfterTimeout(sinceConfirmedWrite()) > 0) {
+                toRecord.put(account, lease.tokensToRecord());
             }
         });
-        return wanted;
+        return toRecord;
     }
 
-    /** Notes that a witness has acknowledged tokens that may be used. */
+    /** Notes that a witness has recorded tokens, so that they may be used. */
     public void noted(String witness, Map<String, Long> tokens) {
-        Map<String, Long> noted = notedAt.computeIfAbsent(witness, key -> new HashMap<>());
+        Map<String, Long> noted = recordedByWitness.computeIfAbsent(witness, key -> new HashMap<>());
         tokens.forEach((account, amount) -> noted.merge(account, amount, Math::max));
     }
 
-    /** Whether a note at a witness would make tokens available. */
+    /** Returns whether tokens would become available if a witness recorded them. */
     public boolean noteWouldHelp(String account, long tokens) {
         AccountLease lease = lease(account);
-        return needsNotes() && lease.available(lease.usableBeyondMark(silence())) >= tokens;
+        return needsNotes() && lease.available(lease.usableAfterTimeout(sinceConfirmedWrite())) >= tokens;
     }
 
     private long usable(String account, AccountLease lease) {
-        if (!silence().outOfPatience()) {
-            return lease.usableBelowMark(silence());
+        if (!sinceConfirmedWrite().silenceTimeoutElapsed()) {
+            return lease.usableWithinCap(sinceConfirmedWrite());
         }
-        if (witnesses.none()) {
-            return lease.usableBeyondMark(silence());
+        if (witnesses.noneNamed()) {
+            return lease.usableAfterTimeout(sinceConfirmedWrite());
         }
         long noted = witnesses.usable().stream()
-                .map(witness -> notedAt.getOrDefault(witness, Map.of()))
+                .map(witness -> recordedByWitness.getOrDefault(witness, Map.of()))
                 .mapToLong(notes -> notes.getOrDefault(account, 0L))
                 .max()
                 .orElse(0);
-        return lease.usableUpTo(noted, silence());
+        return lease.usableWithRecord(noted, sinceConfirmedWrite());
     }
 
-    /** From now on leases shrink to what is used or waited for, as this entry takes no more requests. */
+    /**
+     * Reduces leases to the tokens that are used or waited for from now on, because this entry accepts no more
+     * requests.
+     */
     public void stopTaking() {
-        releasing = true;
+        shrinking = true;
     }
 
     /** Reserves tokens of an account. */
@@ -171,47 +178,47 @@
         return lease(account).tryReserve(tokens, usable(account, lease(account))) ? Outcome.RESERVED : Outcome.SHORT;
     }
 
-    /** Books what a request used and frees the rest of its reservation. */
+    /** Records the tokens that a request used and frees the remainder of its reservation. */
     public void settle(String account, long reserved, long used) {
         lease(account).settle(reserved, used);
     }
 
     /**
-     * Lends tokens to another entry, for good: they count as used here.
+     * Lends tokens to another entry. The transfer is permanent: the tokens count as used here.
      *
-     * @param asked tokens that the other lacks
-     * @return tokens lent; fewer than asked if there are not so many
+     * @param asked tokens that the other entry lacks
+     * @return tokens lent; fewer than requested if fewer are available
      */
     public long lend(String account, long asked) {
         return lendUpTo(account, asked, asked);
     }
 
     /**
-     * Lends more than is asked for where there is plenty, to save further questions. The rest lies idle at the
-     * borrower, so this is for small fleets.
+     * Lends more tokens than requested if enough are available, to save further requests. The remainder stays idle at
+     * the borrower, so this is meant for small fleets.
      */
     public long lendWithSpare(String account, long asked) {
         long available = Math.max(0, available(account));
-        return lendUpTo(account, asked, asked + Math.min(asked, available / SPARE_PARTS));
+        return lendUpTo(account, asked, asked + Math.min(asked, available / SPARE_DIVISOR));
     }
 
-    private long lendUpTo(String account, long asked, long most) {
+    private long lendUpTo(String account, long asked, long maxTokens) {
         AccountLease lease = lease(account);
-        lease.asked(asked);
-        long amount = Math.min(Math.max(0, lease.available(usable(account, lease))), most);
+        lease.noteLoanRequest(asked);
+        long amount = Math.min(Math.max(0, lease.available(usable(account, lease))), maxTokens);
         lease.lend(amount);
         return amount;
     }
 
-    /** Takes tokens that another entry lent. */
+    /** Adds tokens lent by another entry. */
     public void borrow(String account, long tokens) {
         lease(account).borrow(tokens);
     }
 
     /**
-     * Gives up borrowed tokens that lie idle, so that they can be returned to an entry that holds the account's leases.
+     * Gives up idle borrowed tokens, so that they can be returned to an entry that holds leases of the account.
      *
-     * @param kept tokens that stay here
+     * @param kept tokens to keep
      * @return tokens that are no longer available here
      */
     public long giveUpIdle(String account, long kept) {
@@ -225,37 +232,37 @@
     }
 
     /**
-     * Tokens that an entry which holds no leases of an account keeps of what it borrowed, to save further questions.
+     * Returns the borrowed tokens that an entry without leases of an account keeps, to save further requests.
      *
-     * @param limit the account's limit
-     * @param entries live entries
+     * @param limit limit of the account
+     * @param entries number of live entries
      */
     public static long kept(long limit, int entries) {
-        return Math.min(MOST_KEPT_TOKENS, limit / PARTS_KEPT / Math.max(1, entries));
+        return Math.min(MAX_KEPT_TOKENS, limit / KEPT_LIMIT_DIVISOR / Math.max(1, entries));
     }
 
-    /** Counts tokens that a request waits for; negative when it stops waiting. */
+    /** Adds tokens that a request waits for; negative when it stops waiting. */
     public void addWaiting(String account, long tokens) {
         lease(account).addWaiting(tokens);
     }
 
-    /** Tokens of an account that can be reserved at once. */
+    /** Returns the tokens of an account that can be reserved now. */
     public long available(String account) {
         return lease(account).available(usable(account, lease(account)));
     }
 
-    /** What this incarnation has of an account, for the log. */
+    /** Returns a snapshot of the lease of an account, for the log. */
     public LeaseState state(String account) {
         AccountLease lease = lease(account);
         return new LeaseState(
                 lease.granted(),
                 lease.used(),
                 usable(account, lease),
-                lease.usableBeyondMark(silence()),
+                lease.usableAfterTimeout(sinceConfirmedWrite()),
                 lease.waiting());
     }
 
-    /** Notes the demand since the last call. */
+    /** Measures the demand since the last call. */
     public void sample(long nowMillis) {
         leases.values().forEach(lease -> lease.sample(nowMillis, settings.rateWindow()));
     }
@@ -263,46 +270,47 @@
     /**
      * Plans the next write of an account.
      *
-     * @param row the row as last read, with the limit in force
-     * @param holders live entries that hold leases of the account, this one among them
-     * @param shape how large a lease is
+     * @param row the row as last read, with the current limit
+     * @param holders number of live entries that hold leases of the account, including this one
+     * @param shape sizing of leases
      */
     public Proposal plan(String account, PrepaidRow row, int holders, LeaseShape shape) {
         AccountLease lease = lease(account);
-        long held = heldIn(row);
+        long held = grantedIn(row);
         long used = lease.used();
         long pool = row.unheld() + held - used;
-        long needed = releasing ? lease.wantedByWaiting(pool) : lease.needed(pool, holders, settings);
-        long wanted = releasing ? needed : AccountLease.wanted(needed, pool, holders, shape);
-        if (!lease.uncertain() && settled(held - used, wanted, lease.waiting())) {
-            Mark mark = lease.markFor(needed, Math.max(0, held - used), settings, shape);
+        long neededByDemand = shrinking ? lease.wantedByWaiting(pool) : lease.neededByDemand(pool, holders, settings);
+        long target = shrinking ? neededByDemand : AccountLease.target(neededByDemand, pool, holders, shape);
+        if (!lease.uncertain() && isNearTarget(held - used, target, lease.waiting())) {
+            Mark mark = lease.usageCapFor(neededByDemand, Math.max(0, held - used), settings, shape);
             return new Proposal(account, Optional.empty(), held, mark.atMost(held));
         }
-        long granted = used + wanted;
-        Mark mark = lease.markFor(needed, wanted, settings, shape);
+        long granted = used + target;
+        Mark mark = lease.usageCapFor(neededByDemand, target, settings, shape);
         PrepaidRow changed = row.withHolding(incarnation, new Holding(granted, used));
         return new Proposal(account, Optional.of(changed), granted, mark);
     }
 
-    /** Plans the next write of an account of which all entries hold leases. */
+    /** Plans the next write of an account whose leases are held by all entries. */
     public Proposal plan(String account, PrepaidRow row, int holders) {
         return plan(account, row, holders, LeaseShape.ALL_HOLD);
     }
 
     /**
-     * Plans the next write of an account whose leases others hold: only requests that could not borrow get a lease, and
-     * what was borrowed and not used goes back. All of it may be used, as no successor takes it back.
+     * Plans the next write of an account whose leases are held by other entries. A lease is taken only for requests
+     * that could not borrow, and unused borrowed tokens are returned. The usage cap is the whole grant, because no
+     * successor reclaims it.
      *
-     * <p>Small rests stay here until a frame returns them: the row is written by the home entries, and each other
-     * writer keeps them from committing.
+     * <p>Small remainders stay here until a frame returns them: the row is written by the home entries, and every other
+     * writer causes conflicts with their commits.
      *
-     * @param row the row as last read, with the limit in force
+     * @param row the row as last read, with the current limit
      */
     public Proposal planBorrower(String account, PrepaidRow row) {
         AccountLease lease = lease(account);
-        long held = heldIn(row);
+        long held = grantedIn(row);
         long used = lease.used();
-        boolean enough = lease.waiting() == 0 && held - used <= MOST_KEPT_TOKENS;
+        boolean enough = lease.waiting() == 0 && held - used <= MAX_KEPT_TOKENS;
         if (enough && !lease.uncertain()) {
             return new Proposal(account, Optional.empty(), held, Mark.of(held));
         }
@@ -311,23 +319,23 @@
         return new Proposal(account, Optional.of(changed), granted, Mark.of(granted));
     }
 
-    /** Whether the rest that nobody has spent for sure can't hold a request at its most. */
+    /** Returns whether the tokens that are not certainly spent are too few for a request of this maximum size. */
     public static boolean exhausted(PrepaidRow row, long tokens) {
         return row.limit() - row.spentAtLeast() < tokens;
     }
 
-    /** Plans the return of all that is neither spent nor reserved. */
+    /** Plans the return of all tokens that are neither spent nor reserved. */
     public Proposal planClose(String account, PrepaidRow row) {
         long used = lease(account).used();
         return new Proposal(account, Optional.of(row.withClosed(incarnation, used)), used, Mark.of(used));
     }
 
     /**
-     * Plans to take back what a predecessor on this box left unused.
+     * Plans to reclaim the unused tokens of a predecessor on this box that stayed within its usage caps.
      *
-     * @param marks its marks, which it is known to have held
-     * @param startMillis time of the store at which this incarnation started, or later
-     * @return the row without its holding; empty if it has none
+     * @param marks usage caps of the predecessor
+     * @param startMillis time, on the clock of the store, at which this incarnation started, or later
+     * @return the row without the holding of the predecessor; empty if it has none
      */
     public Optional<PrepaidRow> reclaim(String account, PrepaidRow row, MarkRow marks, long startMillis) {
         long patience = settings.patience().toMillis();
@@ -337,10 +345,11 @@
     }
 
     /**
-     * Plans to take back what a predecessor on this box left unused that ran out of patience.
+     * Plans to reclaim the unused tokens of a predecessor on this box that reached its silence timeout.
      *
-     * @param noted the most that it noted at any witness, by account; all its witnesses were asked
-     * @return the row without its holding; empty if it has none
+     * @param noted maximum number of tokens recorded at any witness, by account; all witnesses of the predecessor
+     *     answered
+     * @return the row without the holding of the predecessor; empty if it has none
      */
     public static Optional<PrepaidRow> reclaimNoted(
             String account, PrepaidRow row, MarkRow marks, Map<String, Long> noted) {
@@ -350,12 +359,13 @@
     }
 
     /**
-     * Plans to take back what a predecessor on this box can't have used yet when this incarnation started. For those
-     * that ran out of patience and whose witnesses are gone: without it a loss of all entries while the store is away
-     * leaves all of their leases used for good, 18 in 100 of the tokens in one such loss at the end of a budget.
+     * Plans to reclaim the tokens that a predecessor on this box cannot have used before this incarnation started. This
+     * applies to predecessors that reached their silence timeout and whose witnesses are gone. Otherwise, the loss of
+     * all entries during a store outage would leave all of their leases counted as used for good: 18 in 100 of the
+     * tokens in one such loss near the end of a budget.
      *
-     * @param startMillis time of the store at which this incarnation started, or later
-     * @return the row without its holding; empty if it has none, or may have used all of it
+     * @param startMillis time, on the clock of the store, at which this incarnation started, or later
+     * @return the row without the holding of the predecessor; empty if it has none or may have used all of it
      */
     public Optional<PrepaidRow> reclaimReleased(String account, PrepaidRow row, MarkRow marks, long startMillis) {
         Optional<Holding> holding = row.holding(marks.incarnation());
@@ -380,27 +390,27 @@
         lease(proposal.account()).refused();
     }
 
-    /** Notes that nobody knows whether a write took, or will take, effect. */
+    /** Notes that it is unknown whether a write took effect or will still do so. */
     public void unanswered(Proposal proposal) {
         lease(proposal.account()).unanswered(proposal.row().isPresent());
     }
 
-    /** Accounts of which this incarnation holds a lease. */
+    /** Returns the accounts for which this incarnation has lease state. */
     public List<String> accounts() {
         return new ArrayList<>(leases.keySet());
     }
 
-    private boolean settled(long available, long wanted, long waiting) {
+    private boolean isNearTarget(long available, long target, long waiting) {
         if (waiting > 0) {
             return available >= waiting;
         }
-        if (Math.abs(available - wanted) <= SMALL_CHANGE_TOKENS) {
+        if (Math.abs(available - target) <= MIN_CHANGE_TOKENS) {
             return true;
         }
-        return available >= wanted * LOW_PART && available <= wanted * HIGH_PART;
+        return available >= target * MIN_TARGET_SHARE && available <= target * MAX_TARGET_SHARE;
     }
 
-    private long heldIn(PrepaidRow row) {
+    private long grantedIn(PrepaidRow row) {
         return row.holding(incarnation).map(Holding::granted).orElse(0L);
     }
 
--- a/core/src/main/java/org/streamring/kernel/prepaid/StoreSilence.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/StoreSilence.java
@@ -1,31 +1,31 @@
 package org.streamring.kernel.prepaid;
 
 /**
- * For how long the store has confirmed no write of this incarnation, and thus how much of its leases may be used.
+ * Time during which the store has confirmed no write of this incarnation; it determines the usable part of the leases.
  *
- * @param elapsedMillis time since the newest write was sent that may have taken effect, or less
- * @param inForceMillis time since the last confirmed write was sent, or less; not less than the time before
- * @param patienceMillis after this time tokens beyond the marks may be used
- * @param coverMillis after this time all of a grant may be used
+ * @param newestMillis time since the newest write that may have taken effect was sent, or less
+ * @param confirmedMillis time since the last confirmed write was sent, or less; at least {@code newestMillis}
+ * @param silenceTimeoutMillis silence timeout, after which tokens above the usage caps may be used
+ * @param fullReleaseMillis time after which all of a grant may be used
  */
-public record StoreSilence(long elapsedMillis, long inForceMillis, long patienceMillis, long coverMillis) {
-    /** Whether the marks no longer bind. */
-    boolean outOfPatience() {
-        return elapsedMillis >= patienceMillis;
+public record StoreSilence(long newestMillis, long confirmedMillis, long silenceTimeoutMillis, long fullReleaseMillis) {
+    /** Returns whether the silence timeout has elapsed. */
+    boolean silenceTimeoutElapsed() {
+        return newestMillis >= silenceTimeoutMillis;
     }
 
-    /** The tokens of a mark that may be used. */
-    long usable(Mark mark) {
-        return mark.after(elapsedMillis, patienceMillis);
+    /** Returns the tokens that a usage cap allows before the silence timeout. */
+    long usable(Mark cap) {
+        return cap.after(newestMillis, silenceTimeoutMillis);
     }
 
-    /** The tokens of the mark that was confirmed last that may be used, as far as it alone is concerned. */
-    long usableInForce(Mark mark) {
-        return mark.after(inForceMillis, patienceMillis);
+    /** Returns the tokens that the last confirmed usage cap alone allows. */
+    long usableOfConfirmed(Mark cap) {
+        return cap.after(confirmedMillis, silenceTimeoutMillis);
     }
 
-    /** The tokens of a grant that may be used once the marks no longer bind. */
-    long released(Mark mark, long granted) {
-        return mark.released(granted, elapsedMillis, patienceMillis, coverMillis);
+    /** Returns the tokens of a grant that may be used after the silence timeout. */
+    long released(Mark cap, long granted) {
+        return cap.released(granted, newestMillis, silenceTimeoutMillis, fullReleaseMillis);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/WitnessNotes.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/WitnessNotes.java
@@ -6,36 +6,41 @@
 import java.util.Set;
 
 /**
- * What other entries noted here that they may use beyond their marks while the store is silent. Once a successor has
- * asked, its predecessor notes nothing more, so that the answer stays true. Nothing is forgotten as long as this
- * process lives, since an answer without a note means that none was made. Confined to one thread.
+ * Records of the tokens that other entries may use above their usage caps during a store outage. Once the successor of
+ * an incarnation has requested its records, further records of that incarnation are refused, so that the answer stays
+ * valid. Records are kept for the lifetime of this process, because an answer without a record means that none was
+ * made. Confined to one thread.
  */
 public final class WitnessNotes {
-    /** Restarts of all entries in a process's life stay far below this; beyond it new notes are refused. */
-    private static final int MOST_INCARNATIONS = 2_000;
+    /**
+     * Maximum number of incarnations with records; further incarnations are refused. The entry restarts during the
+     * lifetime of a process stay far below this number.
+     */
+    private static final int MAX_INCARNATIONS = 2_000;
 
-    private final Map<String, Map<String, Long>> notes = new HashMap<>();
+    private final Map<String, Map<String, Long>> records = new HashMap<>();
     private final Set<String> closed = new HashSet<>();
 
     /**
-     * Notes what an incarnation may use.
+     * Records the tokens that an incarnation may use.
      *
      * @param tokens tokens of its grants by account
-     * @return false if its successor has asked already, or nothing more can be kept; it must not use them then
+     * @return false if its successor has already requested the records or the maximum number of incarnations is
+     *     reached; the tokens must not be used then
      */
     public boolean note(String incarnation, Map<String, Long> tokens) {
-        boolean full = !notes.containsKey(incarnation) && notes.size() >= MOST_INCARNATIONS;
+        boolean full = !records.containsKey(incarnation) && records.size() >= MAX_INCARNATIONS;
         if (closed.contains(incarnation) || full) {
             return false;
         }
-        Map<String, Long> noted = notes.computeIfAbsent(incarnation, key -> new HashMap<>());
-        tokens.forEach((account, amount) -> noted.merge(account, amount, Math::max));
+        Map<String, Long> recorded = records.computeIfAbsent(incarnation, key -> new HashMap<>());
+        tokens.forEach((account, amount) -> recorded.merge(account, amount, Math::max));
         return true;
     }
 
-    /** Tells what an incarnation noted, and refuses its notes from now on. */
+    /** Returns the records of an incarnation and refuses further records of it. */
     public Map<String, Long> close(String incarnation) {
         closed.add(incarnation);
-        return Map.copyOf(notes.getOrDefault(incarnation, Map.of()));
+        return Map.copyOf(records.getOrDefault(incarnation, Map.of()));
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/package-info.java
@@ -1,4 +1,4 @@
-/** Prepaid limits of client accounts: tokens are leased from the platform's rows before they are spent. */
+/** Prepaid limits of client accounts: tokens are leased from rows of the platform before they are spent. */
 @NullMarked
 package org.streamring.kernel.prepaid;
 
--- a/core/src/test/java/org/streamring/kernel/prepaid/AccountHomesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/AccountHomesTest.java
@@ -10,23 +10,23 @@
     private static final List<String> FLEET =
             IntStream.range(0, 30).mapToObj(number -> "entry-" + number).toList();
 
-    private static final List<String> HUNDREDS =
+    private static final List<String> LARGE_FLEET =
             IntStream.range(0, 300).mapToObj(number -> "entry-" + number).toList();
 
     @Test
-    public void anEntryThatKnowsNobodyIsHomeOfAll() {
+    public void anEntryWithoutPeersIsHomeEntryOfAllAccounts() {
         assertThat(new AccountHomes("entry-1").isHome("hospitals")).isTrue();
     }
 
     @Test
-    public void inASmallFleetAllEntriesAreHomes() {
+    public void inASmallFleetAllEntriesAreHomeEntries() {
         AccountHomes homes = homes("entry-1", FLEET.subList(0, 8));
         assertThat(homes.of("hospitals")).containsExactlyInAnyOrderElementsOf(FLEET.subList(0, 8));
         assertThat(homes.isHome("hospitals")).isTrue();
     }
 
     @Test
-    public void inALargeFleetAFewAreAndAllEntriesAgreeWhich() {
+    public void inALargerFleetAllEntriesSelectTheSameFewHomeEntries() {
         List<String> chosen = homes("entry-1", FLEET).of("hospitals");
         assertThat(chosen).hasSize(2).doesNotHaveDuplicates();
         assertThat(FLEET).allSatisfy(name -> {
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void accountsAreSpreadOverTheEntries() {
+    public void homeEntriesOfAccountsAreSpreadOverTheFleet() {
         AccountHomes homes = homes("entry-1", FLEET);
         long different = IntStream.range(0, 24)
                 .mapToObj(number -> homes.of("account-" + number).get(0))
@@ -47,43 +47,50 @@
     }
 
     @Test
-    public void theHomesOfAnAccountStayButForThoseThatAreGone() {
+    public void onlyHomeEntriesThatAreGoneAreReplaced() {
         List<String> before = homes("entry-1", FLEET).of("hospitals");
-        for (String gone : before) {
-            List<String> left =
-                    FLEET.stream().filter(name -> !name.equals(gone)).toList();
-            List<String> stay =
-                    before.stream().filter(name -> !name.equals(gone)).toList();
-            assertThat(homes("entry-1", left).of("hospitals"))
+        for (String removed : before) {
+            List<String> remainingEntries =
+                    FLEET.stream().filter(name -> !name.equals(removed)).toList();
+            List<String> remainingHomes =
+                    before.stream().filter(name -> !name.equals(removed)).toList();
+            assertThat(homes("entry-1", remainingEntries).of("hospitals"))
                     .hasSize(before.size())
-                    .containsAll(stay)
-                    .doesNotContain(gone);
+                    .containsAll(remainingHomes)
+                    .doesNotContain(removed);
         }
     }
 
-    /** Beyond forty entries not all are connected; homes that a borrower does not reach refuse its callers. */
+    /**
+     * With more than forty entries, not every pair is connected. Home entries that a borrower cannot reach would cause
+     * refusals.
+     */
     @Test
-    public void inAFleetOfHundredsTheHomesOfAllAccountsAreAmongAFewHolders() {
-        AccountHomes homes = homes("entry-1", HUNDREDS);
+    public void inAFleetOfHundredsAllHomeEntriesAreAmongAFewHolders() {
+        AccountHomes homes = homes("entry-1", LARGE_FLEET);
         assertThat(homes.holders()).hasSize(24);
         assertThat(IntStream.range(0, 200))
                 .allSatisfy(number -> assertThat(homes.holders()).containsAll(homes.of("account-" + number)));
-        assertThat(HUNDREDS)
-                .allSatisfy(name -> assertThat(homes(name, HUNDREDS).holders()).isEqualTo(homes.holders()));
+        assertThat(LARGE_FLEET)
+                .allSatisfy(
+                        name -> assertThat(homes(name, LARGE_FLEET).holders()).isEqualTo(homes.holders()));
     }
 
     @Test
-    public void whereAllAreConnectedAllMayHold() {
+    public void allEntriesAreHoldersWhereAllAreConnected() {
         assertThat(homes("entry-1", FLEET).holders()).containsExactlyInAnyOrderElementsOf(FLEET);
     }
 
     @Test
-    public void aHolderThatIsGoneIsReplacedByOneOther() {
-        AccountHomes homes = homes("entry-1", HUNDREDS);
-        String gone = homes.holders().iterator().next();
-        List<String> left = HUNDREDS.stream().filter(name -> !name.equals(gone)).toList();
-        assertThat(homes(left.get(0), left).holders()).hasSize(24).doesNotContain(gone);
-        assertThat(homes(left.get(0), left).holders().stream()
+    public void aHolderThatIsGoneIsReplacedByOneEntry() {
+        AccountHomes homes = homes("entry-1", LARGE_FLEET);
+        String removed = homes.holders().iterator().next();
+        List<String> remainingEntries =
+                LARGE_FLEET.stream().filter(name -> !name.equals(removed)).toList();
+        assertThat(homes(remainingEntries.get(0), remainingEntries).holders())
+                .hasSize(24)
+                .doesNotContain(removed);
+        assertThat(homes(remainingEntries.get(0), remainingEntries).holders().stream()
                         .filter(homes.holders()::contains)
                         .count())
                 .isEqualTo(23);
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableReleaseTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableReleaseTest.java
@@ -14,35 +14,35 @@
     }
 
     @Test
-    public void aLaterTimeCountsFromItsProposal() {
+    public void aLongerTimeAppliesWhenItIsProposed() {
         release.proposed(20_000);
-        assertThat(release.usableMillis()).isEqualTo(20_000);
+        assertThat(release.releaseMillis()).isEqualTo(20_000);
     }
 
     @Test
-    public void anEarlierTimeCountsOnceItIsConfirmed() {
+    public void aShorterTimeAppliesAfterItIsConfirmed() {
         release.confirmed(20_000);
         release.proposed(10_000);
-        assertThat(release.usableMillis()).isEqualTo(20_000);
+        assertThat(release.releaseMillis()).isEqualTo(20_000);
         release.confirmed(10_000);
-        assertThat(release.usableMillis()).isEqualTo(10_000);
+        assertThat(release.releaseMillis()).isEqualTo(10_000);
     }
 
     @Test
-    public void aRefusedRowLeavesTheOldTime() {
+    public void aRefusedRowRestoresThePreviousTime() {
         release.proposed(20_000);
         release.refused();
-        assertThat(release.usableMillis()).isEqualTo(10_000);
+        assertThat(release.releaseMillis()).isEqualTo(10_000);
     }
 
     @Test
-    public void withoutAnAnswerTheLatestTimeCountsUntilARowIsConfirmed() {
+    public void withoutAnAnswerTheLongestTimeAppliesUntilARowIsConfirmed() {
         release.proposed(20_000);
         release.unanswered();
         release.proposed(10_000);
         release.refused();
-        assertThat(release.usableMillis()).isEqualTo(20_000);
+        assertThat(release.releaseMillis()).isEqualTo(20_000);
         release.confirmed(10_000);
-        assertThat(release.usableMillis()).isEqualTo(10_000);
+        assertThat(release.releaseMillis()).isEqualTo(10_000);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableRiseTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableRiseTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void aRowTellsTheTimeAtWhichItIsSentItself() {
+    public void aRowContainsTheTimeAtWhichItIsSent() {
         assertThat(rise.proposed(SECOND)).isEqualTo(SECOND);
         assertThat(rise.usable()).as("the row may be in force").isEqualTo(SECOND);
         rise.confirmed();
@@ -29,14 +29,14 @@
     }
 
     @Test
-    public void marksGoOnRisingSinceTheRowBeforeOneThatHadNoEffect() {
+    public void afterARefusedRowCapsRiseFromTheTimeOfThePreviousRow() {
         rise.proposed(SECOND);
         rise.refused();
         assertThat(rise.usable()).isEqualTo(FIRST);
     }
 
     @Test
-    public void whileAnOutcomeIsNotKnownFurtherRowsTellTheSameTime() {
+    public void furtherRowsRepeatTheTimeWhileAnOutcomeIsUnknown() {
         rise.proposed(SECOND);
         rise.unanswered();
         assertThat(rise.proposed(THIRD)).isEqualTo(SECOND);
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableWitnessesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableWitnessesTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void whileAWriteIsInProgressOnlyThoseOfBothRowsCount() {
+    public void duringAWriteOnlyWitnessesNamedInBothRowsCount() {
         witnesses.proposed(Set.of("b", "c"));
         assertThat(witnesses.usable()).containsExactly("b");
         witnesses.confirmed(Set.of("b", "c"));
@@ -24,14 +24,14 @@
     }
 
     @Test
-    public void aRefusedWriteLeavesTheOldOnes() {
+    public void aRefusedWriteRestoresThePreviousWitnesses() {
         witnesses.proposed(Set.of("c"));
         witnesses.refused();
         assertThat(witnesses.usable()).containsExactlyInAnyOrder("a", "b");
     }
 
     @Test
-    public void withoutAnAnswerALaterRefusalDoesNotBringTheOldOnesBack() {
+    public void withoutAnAnswerALaterRefusalDoesNotRestoreThePreviousWitnesses() {
         witnesses.proposed(Set.of("b"));
         witnesses.unanswered();
         witnesses.proposed(Set.of("a", "b"));
@@ -40,12 +40,12 @@
     }
 
     @Test
-    public void noneMeansThatNoRowThatMayBeInForceNamesOne() {
+    public void noneNamedIsFalseIfTheStoredRowMayNameAWitness() {
         DurableWitnesses fresh = new DurableWitnesses();
-        assertThat(fresh.none()).isTrue();
+        assertThat(fresh.noneNamed()).isTrue();
         fresh.proposed(Set.of("a"));
         fresh.unanswered();
-        assertThat(fresh.none()).isFalse();
+        assertThat(fresh.noneNamed()).isFalse();
         assertThat(fresh.usable()).isEmpty();
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/BorrowingFleet.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/FleetSimulation.java
@@ -13,21 +13,22 @@
 import java.util.stream.IntStream;
 
 /**
- * A large fleet before one store, in simulated time: requests of many accounts arrive at any entry, whose home entries
- * lend, as the product's own book and homes decide. Messages and writes take no time; what is looked at is whether a
- * home has what is asked for while the store is away.
+ * Simulates a large fleet that shares one store: requests of many accounts arrive at any entry and borrow tokens from
+ * the home entries of their account. The production classes make all decisions about leases and home entries. Messages
+ * and writes take no time; the simulation only shows whether home entries have the requested tokens during a store
+ * outage.
  */
-final class BorrowingFleet {
+final class FleetSimulation {
     private static final PrepaidSettings SETTINGS = PrepaidSettings.DEFAULT;
-    private static final long CLUMP_MILLIS = 2_000;
+    private static final long BURST_MILLIS = 2_000;
     private static final long STEP_MILLIS = 10;
-    private static final long NOTE_EVERY_MILLIS = 200;
-    private static final long RETURN_EVERY_MILLIS = 300;
-    /** Requests are due to an account until this part of its limit is in use. */
-    private static final double DUE_PART = 0.97;
+    private static final long REPORT_INTERVAL_MILLIS = 200;
+    private static final long RETURN_INTERVAL_MILLIS = 300;
+    /** Requests count as covered until this part of the limit of their account is in use. */
+    private static final double COVERED_PART = 0.97;
 
     private final Random random;
-    private final long dayMillis;
+    private final long durationMillis;
     private final List<Entry> entries;
     private final List<String> accounts;
     private final double[] weights;
@@ -36,25 +37,25 @@
     private final long sampleMillis;
     private final PriorityQueue<Running> running = new PriorityQueue<>(Comparator.comparingLong(Running::endMillis));
     private final TreeMap<Long, RequestTally> bySize = new TreeMap<>();
-    private final RequestTally whileAway = new RequestTally();
-    private final RequestTally whileReachable = new RequestTally();
-    private final RequestTally due = new RequestTally();
+    private final RequestTally duringOutage = new RequestTally();
+    private final RequestTally outsideOutages = new RequestTally();
+    private final RequestTally covered = new RequestTally();
     private final Map<String, Long> inUse = new HashMap<>();
-    private final List<Hot> hot = new ArrayList<>();
-    private double lostAtSample;
-    private boolean uneven;
+    private final List<DemandPeak> demandPeaks = new ArrayList<>();
+    private double unreclaimableAtSample;
+    private boolean bursty;
     private long nowMillis;
     private long spent;
 
-    /** The store answers nobody for a while. */
+    /** Period during which the store does not answer. */
     record Outage(long fromMillis, long forMillis) {
-        private boolean holds(long millis) {
+        private boolean contains(long millis) {
             return millis >= fromMillis && millis < fromMillis + forMillis;
         }
     }
 
-    /** An account that sends several times its usual for some time. */
-    record Hot(String account, double factor, long fromMillis, long untilMillis) {}
+    /** Period during which an account sends several times its usual demand. */
+    record DemandPeak(String account, double factor, long fromMillis, long untilMillis) {}
 
     private record Running(long endMillis, Entry entry, String account, long reserved, long used) {}
 
@@ -63,14 +64,14 @@
         private final AccountHomes homes;
         private final long writeOffsetMillis;
         private long confirmedMillis;
-        private MarkRow marks = new MarkRow("", 0, Map.of(), Set.of(), 0);
+        private MarkRow caps = new MarkRow("", 0, Map.of(), Set.of(), 0);
 
         private Entry(int number, int count) {
             this.book = new PrepaidBook("entry-" + number + ".a", SETTINGS);
             this.homes = new AccountHomes("entry-" + number);
             this.homes.others(
                     IntStream.range(0, count).mapToObj(each -> "entry-" + each).toList());
-            this.writeOffsetMillis = random.nextLong(writeEveryMillis(count));
+            this.writeOffsetMillis = random.nextLong(writeIntervalMillis(count));
         }
 
         private void write() {
@@ -94,28 +95,28 @@
             book.release().confirmed(releaseMillis);
             confirmedMillis = nowMillis;
             book.storeSilentFor(0);
-            marks = new MarkRow(book.incarnation(), nowMillis, written, named, releaseMillis);
+            caps = new MarkRow(book.incarnation(), nowMillis, written, named, releaseMillis);
         }
 
         private long kept(String account) {
             return PrepaidBook.kept(rows.get(account).limit(), entries.size());
         }
 
-        private void note() {
+        private void reportUse() {
             if (book.needsNotes()) {
                 book.noted("witness", book.wantedNotes());
             }
         }
 
-        /** Tokens that nobody could take back if this entry and its witnesses died now. */
-        private long lostAtDeath() {
+        /** Returns the tokens that could not be reclaimed if this entry and its witnesses died now. */
+        private long unreclaimable() {
             long patience = SETTINGS.patience().toMillis();
             long lost = 0;
             for (String account : accounts) {
                 Holding holding = rows.get(account).holding(book.incarnation()).orElse(new Holding(0, 0));
-                long counted = marks.heldBy(nowMillis, patience)
-                        ? marks.usedAtMost(account, holding.granted(), nowMillis, patience)
-                        : marks.releasedAtMost(account, holding.granted(), nowMillis, patience);
+                long counted = caps.heldBy(nowMillis, patience)
+                        ? caps.usedAtMost(account, holding.granted(), nowMillis, patience)
+                        : caps.releasedAtMost(account, holding.granted(), nowMillis, patience);
                 lost += Math.max(
                         0, counted - book.planClose(account, rows.get(account)).granted());
             }
@@ -125,10 +126,10 @@
         private long lend(String account, long asked) {
             if (book.available(account) < asked) {
                 book.addWaiting(account, asked);
-                if (!away()) {
+                if (!inOutage()) {
                     write();
                 } else if (book.noteWouldHelp(account, asked)) {
-                    note();
+                    reportUse();
                 }
                 book.addWaiting(account, -asked);
             }
@@ -147,7 +148,7 @@
                 }
             }
             if (book.available(account) < tokens && homes.isHome(account)) {
-                note();
+                reportUse();
             }
             return book.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED;
         }
@@ -168,17 +169,17 @@
         }
     }
 
-    BorrowingFleet(
+    FleetSimulation(
             long seed,
             int count,
             int accountCount,
-            long dayMillis,
+            long durationMillis,
             double limitFactor,
             List<Outage> outages,
             long sampleMillis) {
 
         this.random = new Random(seed);
-        this.dayMillis = dayMillis;
+        this.durationMillis = durationMillis;
         this.outages = outages;
         this.sampleMillis = sampleMillis;
         this.accounts = IntStream.range(0, accountCount)
@@ -193,7 +194,7 @@
                 .sum();
         for (int each = 0; each < accountCount; each++) {
             weights[each] /= sum;
-            long limit = (long) (limitFactor * perSecond * weights[each] * dayMillis / 1_000);
+            long limit = (long) (limitFactor * perSecond * weights[each] * durationMillis / 1_000);
             rows.put(accounts.get(each), PrepaidRow.EMPTY.withLimit(limit, 1));
         }
         this.entries = IntStream.range(0, count)
@@ -201,60 +202,60 @@
                 .toList();
     }
 
-    private static long writeEveryMillis(int entries) {
+    private static long writeIntervalMillis(int entries) {
         return 400 + 15L * entries;
     }
 
-    BorrowingFleet hot(int account, double factor, long fromMillis, long forMillis) {
-        hot.add(new Hot(accounts.get(account), factor, fromMillis, fromMillis + forMillis));
+    FleetSimulation demandPeak(int account, double factor, long fromMillis, long forMillis) {
+        demandPeaks.add(new DemandPeak(accounts.get(account), factor, fromMillis, fromMillis + forMillis));
         return this;
     }
 
-    /** Accounts send now much, now little, instead of evenly. */
-    BorrowingFleet uneven() {
-        uneven = true;
+    /** Makes the demand of accounts bursty instead of even. */
+    FleetSimulation bursty() {
+        bursty = true;
         return this;
     }
 
-    BorrowingFleet play() {
+    FleetSimulation simulate() {
         entries.forEach(Entry::write);
-        for (nowMillis = STEP_MILLIS; nowMillis < dayMillis; nowMillis += STEP_MILLIS) {
-            end();
+        for (nowMillis = STEP_MILLIS; nowMillis < durationMillis; nowMillis += STEP_MILLIS) {
+            settleEndedRequests();
             entries.forEach(this::tick);
-            arrive();
+            submitRequests();
             if (nowMillis == sampleMillis) {
-                lostAtSample = lostIfAllDie();
+                unreclaimableAtSample = unreclaimableShare();
             }
         }
         return this;
     }
 
     private void tick(Entry entry) {
-        entry.book.storeSilentFor(away() ? nowMillis - entry.confirmedMillis : 0);
-        long every = writeEveryMillis(entries.size());
-        if (!away() && (nowMillis + entry.writeOffsetMillis) % every < STEP_MILLIS) {
+        entry.book.storeSilentFor(inOutage() ? nowMillis - entry.confirmedMillis : 0);
+        long intervalMillis = writeIntervalMillis(entries.size());
+        if (!inOutage() && (nowMillis + entry.writeOffsetMillis) % intervalMillis < STEP_MILLIS) {
             entry.write();
         }
-        if (nowMillis % NOTE_EVERY_MILLIS < STEP_MILLIS) {
-            entry.note();
+        if (nowMillis % REPORT_INTERVAL_MILLIS < STEP_MILLIS) {
+            entry.reportUse();
         }
-        if (nowMillis % RETURN_EVERY_MILLIS < STEP_MILLIS) {
+        if (nowMillis % RETURN_INTERVAL_MILLIS < STEP_MILLIS) {
             entry.returnIdle();
         }
     }
 
-    /** Part of all limits that nobody could take back if all entries died now. */
-    private double lostIfAllDie() {
+    /** Returns the part of all limits that could not be reclaimed if all entries died now. */
+    private double unreclaimableShare() {
         long limits = rows.values().stream().mapToLong(PrepaidRow::limit).sum();
-        long lost = entries.stream().mapToLong(Entry::lostAtDeath).sum();
+        long lost = entries.stream().mapToLong(Entry::unreclaimable).sum();
         return lost / (double) limits;
     }
 
-    private boolean away() {
-        return outages.stream().anyMatch(each -> each.holds(nowMillis));
+    private boolean inOutage() {
+        return outages.stream().anyMatch(each -> each.contains(nowMillis));
     }
 
-    private void end() {
+    private void settleEndedRequests() {
         while (!running.isEmpty() && running.peek().endMillis() <= nowMillis) {
             Running ended = running.poll();
             ended.entry().book.settle(ended.account(), ended.reserved(), ended.used());
@@ -263,11 +264,11 @@
         }
     }
 
-    private void arrive() {
+    private void submitRequests() {
         for (RequestKind kind : RequestKind.values()) {
-            double due = kind.perSecond() * STEP_MILLIS / 1_000;
+            double requestsPerStep = kind.perSecond() * STEP_MILLIS / 1_000;
             for (int each = 0; each < accounts.size(); each++) {
-                double expected = due * weights[each] * factor(accounts.get(each));
+                double expected = requestsPerStep * weights[each] * factor(accounts.get(each));
                 if (random.nextDouble() < expected) {
                     request(kind, accounts.get(each));
                 }
@@ -276,68 +277,68 @@
     }
 
     private double factor(String account) {
-        return (uneven ? clump(account) : 1) * hotFactor(account);
+        return (bursty ? burstFactor(account) : 1) * demandPeakFactor(account);
     }
 
-    /** Accounts send now much, now little. */
-    private double clump(String account) {
-        int draw = Math.floorMod((account + nowMillis / CLUMP_MILLIS).hashCode() * 31, 4);
+    /** Returns the factor of the demand of an account in the current burst period. */
+    private double burstFactor(String account) {
+        int draw = Math.floorMod((account + nowMillis / BURST_MILLIS).hashCode() * 31, 4);
         return draw == 0 ? 2.8 : 0.4;
     }
 
-    private double hotFactor(String account) {
-        return hot.stream()
+    private double demandPeakFactor(String account) {
+        return demandPeaks.stream()
                 .filter(each -> each.account().equals(account)
                         && nowMillis >= each.fromMillis()
                         && nowMillis < each.untilMillis())
-                .mapToDouble(Hot::factor)
+                .mapToDouble(DemandPeak::factor)
                 .findFirst()
                 .orElse(1);
     }
 
     private void request(RequestKind kind, String account) {
         long prompt = kind.prompt(random);
-        long most = prompt + 2L * kind.answer();
+        long maxTokens = prompt + 2L * kind.answer();
         Entry entry = entries.get(random.nextInt(entries.size()));
-        boolean served = entry.reserve(account, most);
-        bySize.computeIfAbsent(Math.min(5, most / 4_000), key -> new RequestTally())
-                .note(most, served);
-        (away() ? whileAway : whileReachable).note(most, served);
+        boolean served = entry.reserve(account, maxTokens);
+        bySize.computeIfAbsent(Math.min(5, maxTokens / 4_000), key -> new RequestTally())
+                .count(maxTokens, served);
+        (inOutage() ? duringOutage : outsideOutages).count(maxTokens, served);
         long before = inUse.getOrDefault(account, 0L);
-        if (before + most <= DUE_PART * rows.get(account).limit()) {
-            due.note(most, served);
+        if (before + maxTokens <= COVERED_PART * rows.get(account).limit()) {
+            covered.count(maxTokens, served);
         }
         if (served) {
-            inUse.merge(account, most, Long::sum);
-            running.add(
-                    new Running(nowMillis + 200 + 5L * kind.answer(), entry, account, most, prompt + kind.answer()));
+            inUse.merge(account, maxTokens, Long::sum);
+            running.add(new Running(
+                    nowMillis + 200 + 5L * kind.answer(), entry, account, maxTokens, prompt + kind.answer()));
         }
     }
 
-    /** By size: 0 is under 4,000 tokens, 5 is 20,000 and more. */
+    /** Returns the requests by size class: 0 is under 4,000 tokens, 5 is 20,000 tokens or more. */
     Map<Long, RequestTally> bySize() {
         return bySize;
     }
 
-    RequestTally whileAway() {
-        return whileAway;
+    RequestTally duringOutage() {
+        return duringOutage;
     }
 
-    RequestTally whileReachable() {
-        return whileReachable;
+    RequestTally outsideOutages() {
+        return outsideOutages;
     }
 
-    /** Requests that fitted into 97 in 100 of their account's limit. */
-    RequestTally due() {
-        return due;
+    /** Returns the requests that fitted into 97 in 100 of the limit of their account. */
+    RequestTally covered() {
+        return covered;
     }
 
-    /** The part lost at the moment that was to be sampled. */
-    double lostAtSample() {
-        return lostAtSample;
+    /** Returns the part of all limits that a loss of all entries at the sampling time would leave unreclaimable. */
+    double unreclaimableAtSample() {
+        return unreclaimableAtSample;
     }
 
-    /** Whether all that was spent counts as used, and no row is over its limit. */
+    /** Returns whether all spent tokens count as used and no row exceeds its limit. */
     boolean withinLimits() {
         long used = rows.values().stream().mapToLong(PrepaidRow::used).sum();
         return spent <= used && rows.values().stream().allMatch(row -> row.used() <= row.limit());
--- a/core/src/test/java/org/streamring/kernel/prepaid/PrepaidBookTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/PrepaidBookTest.java
@@ -14,10 +14,11 @@
     private static final String ACCOUNT = "hospitals";
     private static final long LIMIT = 100_000;
 
-    private static final long PATIENCE_MILLIS =
+    private static final long SILENCE_TIMEOUT_MILLIS =
             PrepaidSettings.DEFAULT.patience().toMillis();
-    private static final long COVER_MILLIS = PrepaidSettings.DEFAULT.cover().toMillis();
-    private static final long HALF_RELEASED_MILLIS = (PATIENCE_MILLIS + COVER_MILLIS) / 2;
+    private static final long FULL_RELEASE_MILLIS =
+            PrepaidSettings.DEFAULT.cover().toMillis();
+    private static final long HALF_RELEASED_MILLIS = (SILENCE_TIMEOUT_MILLIS + FULL_RELEASE_MILLIS) / 2;
 
     private PrepaidBook book;
     private PrepaidRow row;
@@ -38,7 +39,7 @@
     }
 
     @Test
-    public void anEntryThatTakesNoMoreKeepsOnlyWhatRequestsUse() {
+    public void anEntryThatAcceptsNoMoreRequestsKeepsOnlyTokensInUse() {
         book.confirmed(propose(50_000));
         book.reserve(ACCOUNT, 7_000);
         book.stopTaking();
@@ -57,16 +58,19 @@
         assertThat(book.available(ACCOUNT)).isEqualTo(1_500);
     }
 
-    /** Rows are the homes' to write; with a threshold by the limit, borrowers wrote them at each end of a request. */
+    /**
+     * The row is written by the home entries. With a threshold relative to the limit, borrowers wrote it at the end of
+     * every request.
+     */
     @Test
-    public void aSmallRestGoesBackInAFrameAndNotThroughTheRow() {
+    public void aSmallRemainderIsReturnedInAFrameAndNotThroughTheRow() {
         book.borrow(ACCOUNT, 1_500);
         assertThat(book.planBorrower(ACCOUNT, row).row()).isEmpty();
         assertThat(book.giveUpIdle(ACCOUNT, PrepaidBook.kept(LIMIT, 33))).isEqualTo(1_500 - LIMIT / 50 / 33);
     }
 
     @Test
-    public void aBorrowerGivesBackWhatItDoesNotUse() {
+    public void aBorrowerReturnsUnusedTokens() {
         row = row.withHolding("entry-2.a", new Holding(9_000, 9_000));
         book.borrow(ACCOUNT, 9_000);
         Proposal proposal = book.planBorrower(ACCOUNT, row);
@@ -77,7 +81,7 @@
     }
 
     @Test
-    public void aBorrowerToWhomNobodyLendsLeasesWhatARequestNeeds() {
+    public void aBorrowerWithoutALenderLeasesTheTokensOfARequest() {
         book.addWaiting(ACCOUNT, 700);
         Proposal proposal = book.planBorrower(ACCOUNT, row);
         book.proposed(proposal);
@@ -88,7 +92,7 @@
     }
 
     @Test
-    public void whatAHomeEntryLendsCountsAsItsDemand() {
+    public void tokensLentByAHomeEntryCountAsItsDemand() {
         book.confirmed(propose(50_000));
         book.sample(0);
         book.lend(ACCOUNT, 20_000);
@@ -98,7 +102,7 @@
     }
 
     @Test
-    public void aSpareIsLentOnlyWhereAskedFor() {
+    public void spareTokensAreLentOnlyByLendWithSpare() {
         book.confirmed(propose(50_000));
         assertThat(book.lend(ACCOUNT, 1_000)).isEqualTo(1_000);
         assertThat(book.lendWithSpare(ACCOUNT, 1_000)).isEqualTo(2_000);
@@ -106,14 +110,14 @@
     }
 
     @Test
-    public void aLeaseThatIsRefusedGivesNothing() {
+    public void aRefusedLeaseProvidesNoTokens() {
         Proposal proposal = propose(10_000);
         book.refused(proposal);
         assertThat(book.available(ACCOUNT)).isZero();
     }
 
     @Test
-    public void aSmallerLeaseCountsFromItsProposal() {
+    public void aSmallerLeaseAppliesWhenItIsProposed() {
         book.confirmed(propose(50_000));
         Proposal smaller = book.plan(ACCOUNT, row, 1);
         assertThat(smaller.granted()).isLessThan(50_000);
@@ -123,7 +127,7 @@
     }
 
     @Test
-    public void withoutAnAnswerTheSmallerOutcomeCounts() {
+    public void withoutAnAnswerTheSmallerLeaseApplies() {
         book.confirmed(propose(50_000));
         Proposal smaller = book.plan(ACCOUNT, row, 1);
         book.proposed(smaller);
@@ -136,14 +140,14 @@
     }
 
     @Test
-    public void aLeaseWhoseWriteHasNoAnswerIsPlannedAnew() {
+    public void aLeaseWhoseWriteHasNoAnswerIsPlannedAgain() {
         Proposal proposal = propose(10_000);
         book.unanswered(proposal);
         assertThat(book.plan(ACCOUNT, row, 1).row()).isPresent();
     }
 
     @Test
-    public void leasesNeverExceedWhatIsUnheld() {
+    public void leasesNeverExceedUnheldTokens() {
         PrepaidRow nearlyUsed = row.withHolding("entry-2.b", new Holding(LIMIT - 100, 0));
         book.addWaiting(ACCOUNT, 10_000);
         Proposal proposal = book.plan(ACCOUNT, nearlyUsed, 2);
@@ -151,7 +155,7 @@
     }
 
     @Test
-    public void aLoweredLimitLeavesOnlyWhatIsUsed() {
+    public void aLoweredLimitLeavesOnlyUsedTokens() {
         book.confirmed(propose(50_000));
         book.reserve(ACCOUNT, 5_000);
         Proposal proposal = book.plan(ACCOUNT, row.withLimit(1_000, 2), 1);
@@ -165,34 +169,34 @@
     }
 
     @Test
-    public void tokensBeyondTheMarkWaitForPatience() {
+    public void tokensAboveTheUsageCapAreUsableOnlyAfterTheSilenceTimeout() {
         book.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
         assertThat(book.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
 
-        book.storeSilentFor(PATIENCE_MILLIS - 1);
+        book.storeSilentFor(SILENCE_TIMEOUT_MILLIS - 1);
         assertThat(book.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
         book.storeSilentFor(HALF_RELEASED_MILLIS);
         assertThat(book.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.RESERVED);
     }
 
     @Test
-    public void outOfPatienceTheRestOfALeaseIsReleasedEvenlyUntilTheTimeItWasSizedFor() {
+    public void afterTheSilenceTimeoutTheRemainderOfALeaseIsReleasedEvenly() {
         book.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
-        book.storeSilentFor(PATIENCE_MILLIS);
+        book.storeSilentFor(SILENCE_TIMEOUT_MILLIS);
         assertThat(book.available(ACCOUNT)).isEqualTo(3_000);
         book.storeSilentFor(HALF_RELEASED_MILLIS);
         assertThat(book.available(ACCOUNT)).isEqualTo(6_500);
-        book.storeSilentFor(COVER_MILLIS);
+        book.storeSilentFor(FULL_RELEASE_MILLIS);
         assertThat(book.available(ACCOUNT)).isEqualTo(10_000);
-        book.storeSilentFor(2 * COVER_MILLIS);
+        book.storeSilentFor(2 * FULL_RELEASE_MILLIS);
         assertThat(book.available(ACCOUNT)).isEqualTo(10_000);
     }
 
     @Test
-    public void beyondTheMarkAWitnessMustNoteTokensFirst() {
+    public void aWitnessMustRecordTokensAboveTheUsageCapFirst() {
         book.witnesses().confirmed(Set.of("entry-2.a"));
         book.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
-        book.storeSilentFor(PATIENCE_MILLIS);
+        book.storeSilentFor(SILENCE_TIMEOUT_MILLIS);
         assertThat(book.noteWouldHelp(ACCOUNT, 5_000)).isFalse();
         book.storeSilentFor(HALF_RELEASED_MILLIS);
         assertThat(book.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
@@ -207,17 +211,17 @@
     }
 
     @Test
-    public void whatIsWaitedForIsWantedToBeNoted() {
+    public void tokensThatRequestsWaitForAreReportedToWitnesses() {
         book.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
         book.addWaiting(ACCOUNT, 5_000);
         assertThat(book.wantedNotes()).containsEntry(ACCOUNT, 5_000L);
     }
 
     @Test
-    public void aSuccessorTakesBackWhatNoWitnessNoted() {
+    public void aSuccessorReclaimsTokensThatNoWitnessRecorded() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
-        MarkRow marks =
-                new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), COVER_MILLIS);
+        MarkRow marks = new MarkRow(
+                "entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), FULL_RELEASE_MILLIS);
         assertThat(PrepaidBook.reclaimNoted(ACCOUNT, held, marks, Map.of())
                         .orElseThrow()
                         .used())
@@ -229,7 +233,7 @@
     }
 
     @Test
-    public void anUnansweredWriteThatLeftTheRowAloneNeedsNoOther() {
+    public void anUnansweredWriteWithoutAChangeOfTheRowIsNotRepeated() {
         book.confirmed(propose(10_000));
         Proposal unchanged = new Proposal(ACCOUNT, Optional.empty(), 10_000, Mark.of(10_000));
         book.proposed(unchanged);
@@ -240,18 +244,18 @@
     }
 
     @Test
-    public void theMarkRisesWhileTheStoreIsSilent() {
+    public void theUsageCapRisesWhileTheStoreIsSilent() {
         book.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, new Mark(0, 1_000, 6_000)));
         assertThat(book.available(ACCOUNT)).isEqualTo(1_000);
 
-        book.storeSilentFor(PATIENCE_MILLIS / 8);
+        book.storeSilentFor(SILENCE_TIMEOUT_MILLIS / 8);
         assertThat(book.available(ACCOUNT)).isEqualTo(1_000);
-        book.storeSilentFor(PATIENCE_MILLIS / 2);
+        book.storeSilentFor(SILENCE_TIMEOUT_MILLIS / 2);
         assertThat(book.available(ACCOUNT)).isEqualTo(3_000);
     }
 
     @Test
-    public void settlingFreesWhatWasNotUsed() {
+    public void settlingFreesUnusedTokens() {
         book.confirmed(propose(10_000));
         book.reserve(ACCOUNT, 10_000);
         book.settle(ACCOUNT, 10_000, 4_000);
@@ -267,7 +271,7 @@
     }
 
     @Test
-    public void lentTokensAreUsedHereAndAvailableThere() {
+    public void lentTokensCountAsUsedByTheLenderAndAvailableToTheBorrower() {
         book.confirmed(propose(10_000));
         PrepaidBook other = new PrepaidBook("entry-2.b", PrepaidSettings.DEFAULT);
 
@@ -281,7 +285,7 @@
     }
 
     @Test
-    public void anEntryLendsWhatItHasWhenThatIsNotEnough() {
+    public void anEntryThatHasTooFewTokensLendsAllOfThem() {
         book.confirmed(new Proposal(ACCOUNT, Optional.empty(), 500, Mark.of(500)));
         assertThat(book.lend(ACCOUNT, 1_000)).isEqualTo(500);
         assertThat(book.available(ACCOUNT)).isZero();
@@ -298,16 +302,16 @@
     }
 
     @Test
-    public void borrowedTokensThatWereNotUsedGoBackToTheRow() {
-        PrepaidRow lenders = row.withHolding("entry-2.b", new Holding(20_000, 20_000));
+    public void unusedBorrowedTokensAreReturnedToTheRow() {
+        PrepaidRow rowWithLender = row.withHolding("entry-2.b", new Holding(20_000, 20_000));
         book.borrow(ACCOUNT, 5_000);
         book.reserve(ACCOUNT, 2_000);
-        PrepaidRow closed = book.planClose(ACCOUNT, lenders).row().orElseThrow();
+        PrepaidRow closed = book.planClose(ACCOUNT, rowWithLender).row().orElseThrow();
         assertThat(closed.used()).isEqualTo(17_000);
     }
 
     @Test
-    public void closingKeepsWhatIsUsedAndFreesTheRest() {
+    public void closingKeepsUsedTokensAndFreesTheRemainder() {
         Proposal proposal = propose(10_000);
         book.confirmed(proposal);
         book.reserve(ACCOUNT, 4_000);
@@ -318,21 +322,22 @@
     }
 
     @Test
-    public void aSuccessorTakesBackWhatLiesBeyondTheMark() {
+    public void aSuccessorReclaimsTokensAboveTheUsageCap() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
-        MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of(), COVER_MILLIS);
-        PrepaidRow taken = book.reclaim(ACCOUNT, held, marks, 2_000).orElseThrow();
-        assertThat(taken.used()).isEqualTo(6_000);
-        assertThat(taken.holdings()).isEmpty();
+        MarkRow marks =
+                new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of(), FULL_RELEASE_MILLIS);
+        PrepaidRow reclaimed = book.reclaim(ACCOUNT, held, marks, 2_000).orElseThrow();
+        assertThat(reclaimed.used()).isEqualTo(6_000);
+        assertThat(reclaimed.holdings()).isEmpty();
     }
 
     @Test
-    public void theSoonerASuccessorStartsTheMoreItTakesBack() {
+    public void anEarlierSuccessorReclaimsMoreTokens() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
         MarkRow marks = new MarkRow(
-                "entry-1.old", 1_000, Map.of(ACCOUNT, new Mark(2_000, 3_000, 8_000)), Set.of(), COVER_MILLIS);
+                "entry-1.old", 1_000, Map.of(ACCOUNT, new Mark(2_000, 3_000, 8_000)), Set.of(), FULL_RELEASE_MILLIS);
 
-        long halfway = 1_000 + PATIENCE_MILLIS / 2;
+        long halfway = 1_000 + SILENCE_TIMEOUT_MILLIS / 2;
         assertThat(book.reclaim(ACCOUNT, held, marks, 1_000).orElseThrow().used())
                 .isEqualTo(3_000);
         assertThat(book.reclaim(ACCOUNT, held, marks, halfway).orElseThrow().used())
@@ -340,52 +345,52 @@
     }
 
     @Test
-    public void withoutWitnessesASuccessorTakesBackWhatWasNotYetReleased() {
+    public void withoutWitnessesASuccessorReclaimsTokensThatWereNotReleased() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
-        MarkRow marks =
-                new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), COVER_MILLIS);
-        PrepaidRow taken = book.reclaimReleased(ACCOUNT, held, marks, 1_000 + HALF_RELEASED_MILLIS)
+        MarkRow marks = new MarkRow(
+                "entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), FULL_RELEASE_MILLIS);
+        PrepaidRow reclaimed = book.reclaimReleased(ACCOUNT, held, marks, 1_000 + HALF_RELEASED_MILLIS)
                 .orElseThrow();
-        assertThat(taken.used()).isEqualTo(18_000);
-        assertThat(taken.holdings()).isEmpty();
-        assertThat(book.reclaimReleased(ACCOUNT, held, marks, 1_000 + COVER_MILLIS))
-                .as("all of it may be used by then, and a witness may still tell")
+        assertThat(reclaimed.used()).isEqualTo(18_000);
+        assertThat(reclaimed.holdings()).isEmpty();
+        assertThat(book.reclaimReleased(ACCOUNT, held, marks, 1_000 + FULL_RELEASE_MILLIS))
+                .as("all tokens may be used by then, and a witness may still answer")
                 .isEmpty();
         assertThat(book.reclaimReleased(ACCOUNT, row, marks, 1_000)).isEmpty();
     }
 
     @Test
-    public void nothingIsTakenBackUnheardOfAPredecessorThatReleasesAllAtOnce() {
+    public void nothingIsReclaimedWithoutWitnessesIfThePredecessorReleasedAllTokens() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
         MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of(), 0);
-        assertThat(book.reclaimReleased(ACCOUNT, held, marks, 1_000 + PATIENCE_MILLIS))
+        assertThat(book.reclaimReleased(ACCOUNT, held, marks, 1_000 + SILENCE_TIMEOUT_MILLIS))
                 .isEmpty();
     }
 
     @Test
-    public void aLeaseWithoutDemandIsMarkedLow() {
+    public void aLeaseWithoutDemandHasALowUsageCap() {
         Proposal proposal = book.plan(ACCOUNT, row, 1);
         assertThat(proposal.mark().atOnce()).isLessThan(proposal.granted() / 4);
         assertThat(proposal.mark().atPatience()).isLessThanOrEqualTo(proposal.granted());
     }
 
     @Test
-    public void anAccountWithoutAMarkStaysUsedInFull() {
+    public void anAccountWithoutAUsageCapCountsAsFullyUsed() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
-        MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(), Set.of(), COVER_MILLIS);
+        MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(), Set.of(), FULL_RELEASE_MILLIS);
         assertThat(book.reclaim(ACCOUNT, held, marks, 2_000).orElseThrow().used())
                 .isEqualTo(30_000);
     }
 
     @Test
-    public void marksHoldOnlyForSuccessorsThatStartSoon() {
-        MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(), Set.of(), COVER_MILLIS);
+    public void usageCapsApplyOnlyToSuccessorsThatStartSoon() {
+        MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(), Set.of(), FULL_RELEASE_MILLIS);
         assertThat(marks.heldBy(4_999, 4_000)).isTrue();
         assertThat(marks.heldBy(5_000, 4_000)).isFalse();
     }
 
     @Test
-    public void anAccountIsExhaustedOnlyByWhatIsSpentForSure() {
+    public void anAccountIsExhaustedOnlyByCertainlySpentTokens() {
         PrepaidRow held = row.withHolding("entry-2.b", new Holding(LIMIT, 90_000));
         assertThat(PrepaidBook.exhausted(held, 10_000)).isFalse();
         assertThat(PrepaidBook.exhausted(held, 10_001)).isTrue();
--- a/core/src/test/java/org/streamring/kernel/prepaid/PrepaidUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/PrepaidFaultInjectionTest.java
@@ -15,26 +15,27 @@
 import org.testng.annotations.Test;
 
 /**
- * Entries over one account's row while answers get lost, writes come late, entries are cut off, killed and succeeded:
- * never is more spent than the row says, nor the row over the limit, whatever the order of events.
+ * Simulates entries that lease tokens of one account while answers are lost, writes are delayed, and entries are cut
+ * off from the store, killed and replaced. In no order of events are more tokens spent than the row counts as used, nor
+ * does the row exceed the limit.
  */
-public class PrepaidUnderFaultsTest {
+public class PrepaidFaultInjectionTest {
     private static final String ACCOUNT = "portal";
     private static final long LIMIT = 400_000;
     private static final int ENTRIES = 3;
     private static final int STEPS = 4_000;
     private static final long STEP_MILLIS = 100;
-    private static final long PATIENCE_MILLIS =
+    private static final long SILENCE_TIMEOUT_MILLIS =
             PrepaidSettings.DEFAULT.patience().toMillis();
     private static final long COVER_MILLIS = PrepaidSettings.DEFAULT.cover().toMillis();
     private static final long MARGIN_MILLIS = 200;
     private static final int SEEDS = 150;
-    /** Successors give their predecessor's witnesses up as often as this. */
-    private static final int UNHEARD_ONE_IN = 10;
+    /** One in this many attempts of a successor to ask the witnesses reclaims tokens without their answers instead. */
+    private static final int WITHOUT_WITNESSES_ONE_IN = 10;
 
-    private static final long LINK_MILLIS = 8_000;
-    /** Entries change their roles, as the fleet does. */
-    private static final long ROLE_MILLIS = 20_000;
+    private static final long LINK_STATE_MILLIS = 8_000;
+    /** Interval at which entries change between holding leases and only borrowing, and leases change their sizing. */
+    private static final long ROLE_CHANGE_MILLIS = 20_000;
 
     @DataProvider
     public Object[][] seeds() {
@@ -42,56 +43,60 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void neverIsMoreSpentThanTheLimit(int seed) {
-        World world = new World(seed);
+    public void neverSpendsMoreThanTheLimit(int seed) {
+        Simulation simulation = new Simulation(seed);
         for (int step = 0; step < STEPS; step++) {
-            world.step();
-            assertThat(world.spent).as("step %d", step).isLessThanOrEqualTo(world.row.used());
-            assertThat(world.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
+            simulation.step();
+            assertThat(simulation.spent).as("step %d", step).isLessThanOrEqualTo(simulation.row.used());
+            assertThat(simulation.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
         }
-        assertThat(world.spent).as("most of the limit is of use").isGreaterThan(LIMIT / 4);
+        assertThat(simulation.spent)
+                .as("a large part of the limit can be spent")
+                .isGreaterThan(LIMIT / 4);
     }
 
     @Test(dataProvider = "seeds")
-    public void neverIsMoreSpentWhereSomeEntriesOnlyBorrow(int seed) {
-        World world = new World(seed);
-        world.someBorrow = true;
+    public void neverSpendsMoreThanTheLimitWhereSomeEntriesOnlyBorrow(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.someEntriesBorrow = true;
         for (int step = 0; step < STEPS; step++) {
-            world.step();
-            assertThat(world.spent).as("step %d", step).isLessThanOrEqualTo(world.row.used());
-            assertThat(world.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
+            simulation.step();
+            assertThat(simulation.spent).as("step %d", step).isLessThanOrEqualTo(simulation.row.used());
+            assertThat(simulation.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
         }
     }
 
     @Test(dataProvider = "seeds")
-    public void neverIsMoreSpentWhereOthersWitnessWhatIsUsed(int seed) {
-        World world = new World(seed);
-        world.witnessed = true;
+    public void neverSpendsMoreThanTheLimitWhereWitnessesRecordUse(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.witnessed = true;
         for (int step = 0; step < STEPS; step++) {
-            world.step();
-            assertThat(world.spent).as("step %d", step).isLessThanOrEqualTo(world.row.used());
-            assertThat(world.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
+            simulation.step();
+            assertThat(simulation.spent).as("step %d", step).isLessThanOrEqualTo(simulation.row.used());
+            assertThat(simulation.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
         }
-        assertThat(world.spent).as("most of the limit is of use").isGreaterThan(LIMIT / 3);
+        assertThat(simulation.spent)
+                .as("a large part of the limit can be spent")
+                .isGreaterThan(LIMIT / 3);
     }
 
     @Test(dataProvider = "seeds")
-    public void neverIsMoreSpentWhereLeasesChangeTheirShape(int seed) {
-        World world = new World(seed);
-        world.witnessed = true;
-        world.someBorrow = true;
-        world.shapesChange = true;
+    public void neverSpendsMoreThanTheLimitWhereLeaseSizingChanges(int seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.witnessed = true;
+        simulation.someEntriesBorrow = true;
+        simulation.leaseSizingChanges = true;
         for (int step = 0; step < STEPS; step++) {
-            world.step();
-            assertThat(world.spent).as("step %d", step).isLessThanOrEqualTo(world.row.used());
-            assertThat(world.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
+            simulation.step();
+            assertThat(simulation.spent).as("step %d", step).isLessThanOrEqualTo(simulation.row.used());
+            assertThat(simulation.row.used()).as("held in step %d", step).isLessThanOrEqualTo(LIMIT);
         }
     }
 
-    /** A note on its way to a witness; it may come late, twice or never. */
-    private record SentNote(long dueMillis, String witness, Entry from, Map<String, Long> tokens) {}
+    /** A usage report in transit to a witness; it may be delayed, duplicated or lost. */
+    private record SentUsageReport(long dueMillis, String witness, Entry from, Map<String, Long> tokens) {}
 
-    private static final class LateWrite {
+    private static final class DelayedWrite {
         private final long dueMillis;
         private final long rowVersion;
         private final long marksVersion;
@@ -99,7 +104,7 @@
         private final Optional<PrepaidRow> row;
         private final MarkRow marks;
 
-        private LateWrite(
+        private DelayedWrite(
                 long dueMillis,
                 long rowVersion,
                 long marksVersion,
@@ -123,9 +128,9 @@
         private boolean reclaimed;
         private final DurableRise rise = new DurableRise();
         private boolean cutOff;
-        private final WitnessNotes kept = new WitnessNotes();
+        private final WitnessNotes witnessRecords = new WitnessNotes();
         private Optional<MarkRow> predecessor = Optional.empty();
-        private final Map<String, Map<String, Long>> reports = new HashMap<>();
+        private final Map<String, Map<String, Long>> witnessAnswers = new HashMap<>();
 
         private Entry(int box, String incarnation, long startMillis) {
             this.box = box;
@@ -135,28 +140,28 @@
         }
     }
 
-    private static final class World {
+    private static final class Simulation {
         private final Random random;
         private final Map<Integer, Entry> entries = new HashMap<>();
         private final Map<Integer, MarkRow> marks = new HashMap<>();
         private final Map<Integer, Long> marksVersions = new HashMap<>();
-        private final List<LateWrite> late = new ArrayList<>();
+        private final List<DelayedWrite> delayedWrites = new ArrayList<>();
         private PrepaidRow row = PrepaidRow.EMPTY.withLimit(LIMIT, 1);
         private long version = 1;
         private long rowVersion = 1;
         private long nowMillis;
         private long spent;
-        private int takenBack;
+        private int reclaimedCount;
         private int incarnations;
-        private boolean someBorrow;
+        private boolean someEntriesBorrow;
         private boolean witnessed;
-        /** Whether the fleet grows and shrinks, so that leases change their shape. */
-        private boolean shapesChange;
+        /** Whether the fleet grows and shrinks, so that the sizing of leases changes. */
+        private boolean leaseSizingChanges;
 
         private final Map<String, PrepaidBook> dead = new HashMap<>();
-        private final List<SentNote> notes = new ArrayList<>();
+        private final List<SentUsageReport> usageReports = new ArrayList<>();
 
-        private World(int seed) {
+        private Simulation(int seed) {
             random = new Random(seed);
             for (int box = 0; box < ENTRIES; box++) {
                 start(box);
@@ -169,8 +174,8 @@
 
         private void step() {
             nowMillis += STEP_MILLIS;
-            applyLateWrites();
-            deliverNotes();
+            applyDelayedWrites();
+            deliverUsageReports();
             for (Entry entry : List.copyOf(entries.values())) {
                 act(entry);
             }
@@ -183,7 +188,7 @@
                         nowMillis - entry.rise.usable().localMillis(),
                         nowMillis - entry.rise.inForce().localMillis());
             }
-            sendNotes(entry);
+            sendUsageReports(entry);
             askWitnesses(entry);
             serve(entry);
             int draw = random.nextInt(1_000);
@@ -220,32 +225,37 @@
                 reclaim(entry);
                 return;
             }
-            boolean borrower = someBorrow && (entry.box + nowMillis / ROLE_MILLIS) % 2 == 0;
+            boolean borrower = someEntriesBorrow && (entry.box + nowMillis / ROLE_CHANGE_MILLIS) % 2 == 0;
             PrepaidBook.Proposal proposal =
                     borrower ? entry.book.planBorrower(ACCOUNT, row) : entry.book.plan(ACCOUNT, row, ENTRIES, shape());
             entry.book.proposed(proposal);
-            Set<String> named = chooseWitnesses(entry);
-            entry.book.witnesses().proposed(named);
+            Set<String> namedWitnesses = chooseWitnesses(entry);
+            entry.book.witnesses().proposed(namedWitnesses);
             long releaseMillis = shape().release().toMillis();
             entry.book.release().proposed(releaseMillis);
             DurableRise.RiseStart start = entry.rise.proposed(new DurableRise.RiseStart(nowMillis, nowMillis));
             MarkRow newMarks = new MarkRow(
-                    entry.incarnation, start.storeMillis(), Map.of(ACCOUNT, proposal.mark()), named, releaseMillis);
-            int fate = random.nextInt(10);
-            if (fate == 0) {
+                    entry.incarnation,
+                    start.storeMillis(),
+                    Map.of(ACCOUNT, proposal.mark()),
+                    namedWitnesses,
+                    releaseMillis);
+            int outcome = random.nextInt(10);
+            if (outcome == 0) {
                 long due = nowMillis + random.nextInt(6_000);
-                late.add(new LateWrite(due, rowVersion, marksVersion(entry.box), entry, proposal.row(), newMarks));
+                delayedWrites.add(
+                        new DelayedWrite(due, rowVersion, marksVersion(entry.box), entry, proposal.row(), newMarks));
                 entry.book.unanswered(proposal);
                 entry.book.witnesses().unanswered();
                 entry.book.release().unanswered();
                 entry.rise.unanswered();
-            } else if (fate == 1) {
+            } else if (outcome == 1) {
                 commit(entry.box, proposal.row(), newMarks);
                 entry.book.unanswered(proposal);
                 entry.book.witnesses().unanswered();
                 entry.book.release().unanswered();
                 entry.rise.unanswered();
-            } else if (fate == 2) {
+            } else if (outcome == 2) {
                 entry.book.refused(proposal);
                 entry.book.witnesses().refused();
                 entry.book.release().refused();
@@ -255,33 +265,36 @@
                 entry.rise.confirmed();
                 entry.book.storeSilentFor(nowMillis - start.localMillis());
                 entry.book.confirmed(proposal);
-                entry.book.witnesses().confirmed(named);
+                entry.book.witnesses().confirmed(namedWitnesses);
                 entry.book.release().confirmed(releaseMillis);
             }
         }
 
         private LeaseShape shape() {
-            return shapesChange && nowMillis / ROLE_MILLIS % 3 > 0 ? LeaseShape.FEW_HOLD : LeaseShape.ALL_HOLD;
+            return leaseSizingChanges && nowMillis / ROLE_CHANGE_MILLIS % 3 > 0
+                    ? LeaseShape.FEW_HOLD
+                    : LeaseShape.ALL_HOLD;
         }
 
         private void reclaim(Entry entry) {
-            Optional<MarkRow> left = Optional.ofNullable(marks.get(entry.box));
-            Optional<PrepaidRow> changed = left.filter(
-                            each -> each.heldBy(entry.startMillis, PATIENCE_MILLIS - MARGIN_MILLIS))
+            Optional<MarkRow> predecessorRow = Optional.ofNullable(marks.get(entry.box));
+            Optional<PrepaidRow> changed = predecessorRow
+                    .filter(each -> each.heldBy(entry.startMillis, SILENCE_TIMEOUT_MILLIS - MARGIN_MILLIS))
                     .flatMap(each -> entry.book.reclaim(ACCOUNT, row, each, entry.startMillis));
-            changed.ifPresent(next -> checkTakenBack(left.orElseThrow().incarnation(), next));
+            changed.ifPresent(
+                    next -> checkReclaimed(predecessorRow.orElseThrow().incarnation(), next));
             commit(entry.box, changed, new MarkRow(entry.incarnation, 0, Map.of(), Set.of(), COVER_MILLIS));
-            entry.predecessor = left.filter(each -> changed.isEmpty());
+            entry.predecessor = predecessorRow.filter(each -> changed.isEmpty());
             entry.reclaimed = true;
             entry.rise.proposed(new DurableRise.RiseStart(nowMillis, nowMillis));
             entry.rise.confirmed();
         }
 
-        /** What counts as used of a dead incarnation is never less than what it used. */
-        private void checkTakenBack(String incarnation, PrepaidRow changed) {
+        /** Checks that at least the tokens used by a dead incarnation are counted as used. */
+        private void checkReclaimed(String incarnation, PrepaidRow changed) {
             long counted = changed.closed() - row.closed();
             long used = dead.get(incarnation).planClose(ACCOUNT, row).granted();
-            assertThat(counted).as("counted of %s", incarnation).isGreaterThanOrEqualTo(used);
+            assertThat(counted).as("tokens counted as used by %s", incarnation).isGreaterThanOrEqualTo(used);
         }
 
         private Set<String> chooseWitnesses(Entry entry) {
@@ -294,7 +307,7 @@
                     .collect(Collectors.toSet());
         }
 
-        private void sendNotes(Entry entry) {
+        private void sendUsageReports(Entry entry) {
             if (!entry.book.needsNotes() || random.nextInt(3) == 0) {
                 return;
             }
@@ -302,75 +315,85 @@
             for (String witness : entry.book.witnesses().usable()) {
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
                     long due = nowMillis + (random.nextInt(5) == 0 ? random.nextInt(8_000) : 0);
-                    notes.add(new SentNote(due, witness, entry, tokens));
+                    usageReports.add(new SentUsageReport(due, witness, entry, tokens));
                 }
             }
         }
 
-        private void deliverNotes() {
-            for (SentNote note : List.copyOf(notes)) {
-                if (note.dueMillis > nowMillis) {
+        private void deliverUsageReports() {
+            for (SentUsageReport report : List.copyOf(usageReports)) {
+                if (report.dueMillis > nowMillis) {
                     continue;
                 }
-                notes.remove(note);
-                Optional<Entry> witness = alive(note.witness);
-                boolean kept = witness.isPresent()
-                        && !linkDown(note.from, note.witness)
-                        && witness.get().kept.note(note.from.incarnation, note.tokens);
-                if (kept && random.nextInt(5) > 0) {
-                    note.from.book.noted(note.witness, note.tokens);
+                usageReports.remove(report);
+                Optional<Entry> witness = alive(report.witness);
+                boolean recorded = witness.isPresent()
+                        && !linkDown(report.from, report.witness)
+                        && witness.get().witnessRecords.note(report.from.incarnation, report.tokens);
+                if (recorded && random.nextInt(5) > 0) {
+                    report.from.book.noted(report.witness, report.tokens);
                 }
             }
         }
 
         private void askWitnesses(Entry entry) {
-            Optional<MarkRow> left = entry.predecessor;
-            if (left.isEmpty() || entry.cutOff) {
+            Optional<MarkRow> predecessorRow = entry.predecessor;
+            if (predecessorRow.isEmpty() || entry.cutOff) {
                 return;
             }
-            if (random.nextInt(UNHEARD_ONE_IN) == 0) {
-                takeBackUnheard(entry, left.get());
+            if (random.nextInt(WITHOUT_WITNESSES_ONE_IN) == 0) {
+                reclaimWithoutWitnesses(entry, predecessorRow.get());
                 return;
             }
-            for (String witness : left.get().witnesses()) {
+            for (String witness : predecessorRow.get().witnesses()) {
                 if (random.nextInt(3) == 0) {
                     alive(witness)
-                            .ifPresent(each -> entry.reports.put(
-                                    witness, each.kept.close(left.get().incarnation())));
+                            .ifPresent(each -> entry.witnessAnswers.put(
+                                    witness,
+                                    each.witnessRecords.close(
+                                            predecessorRow.get().incarnation())));
                 }
             }
-            if (!left.get().witnesses().isEmpty()
-                    && entry.reports.keySet().containsAll(left.get().witnesses())) {
+            if (!predecessorRow.get().witnesses().isEmpty()
+                    && entry.witnessAnswers
+                            .keySet()
+                            .containsAll(predecessorRow.get().witnesses())) {
                 Map<String, Long> noted = new HashMap<>();
-                entry.reports
+                entry.witnessAnswers
                         .values()
                         .forEach(each -> each.forEach((account, tokens) -> noted.merge(account, tokens, Math::max)));
-                takeBack(entry, left.get(), PrepaidBook.reclaimNoted(ACCOUNT, row, left.get(), noted));
+                reclaimUnused(
+                        entry,
+                        predecessorRow.get(),
+                        PrepaidBook.reclaimNoted(ACCOUNT, row, predecessorRow.get(), noted));
             }
         }
 
-        /** At any time, also while witnesses could still tell. */
-        private void takeBackUnheard(Entry entry, MarkRow left) {
-            Optional<PrepaidRow> changed = entry.book.reclaimReleased(ACCOUNT, row, left, entry.startMillis);
+        /** Reclaims tokens without the answers of the witnesses, also while witnesses could still answer. */
+        private void reclaimWithoutWitnesses(Entry entry, MarkRow predecessorRow) {
+            Optional<PrepaidRow> changed = entry.book.reclaimReleased(ACCOUNT, row, predecessorRow, entry.startMillis);
             if (changed.isPresent()) {
-                takeBack(entry, left, changed);
+                reclaimUnused(entry, predecessorRow, changed);
             }
         }
 
-        private void takeBack(Entry entry, MarkRow left, Optional<PrepaidRow> taken) {
-            taken.ifPresent(changed -> {
-                checkTakenBack(left.incarnation(), changed);
+        private void reclaimUnused(Entry entry, MarkRow predecessorRow, Optional<PrepaidRow> reclaimedRow) {
+            reclaimedRow.ifPresent(changed -> {
+                checkReclaimed(predecessorRow.incarnation(), changed);
                 version++;
                 row = changed;
                 rowVersion = version;
-                takenBack++;
+                reclaimedCount++;
             });
             entry.predecessor = Optional.empty();
         }
 
-        /** A link from an entry to a witness is down for some seconds, then up again. */
+        /**
+         * Returns whether the link from an entry to a witness is down; links alternate between up and down every few
+         * seconds.
+         */
         private boolean linkDown(Entry from, String witness) {
-            long block = nowMillis / LINK_MILLIS;
+            long block = nowMillis / LINK_STATE_MILLIS;
             return Math.floorMod((from.incarnation + witness + block).hashCode(), 5) < 2;
         }
 
@@ -380,14 +403,14 @@
                     .findFirst();
         }
 
-        private void applyLateWrites() {
-            for (LateWrite write : List.copyOf(late)) {
+        private void applyDelayedWrites() {
+            for (DelayedWrite write : List.copyOf(delayedWrites)) {
                 if (write.dueMillis > nowMillis) {
                     continue;
                 }
-                late.remove(write);
-                boolean rowHolds = write.row.isEmpty() || write.rowVersion == rowVersion;
-                if (rowHolds && write.marksVersion == marksVersion(write.writer.box)) {
+                delayedWrites.remove(write);
+                boolean rowUnchanged = write.row.isEmpty() || write.rowVersion == rowVersion;
+                if (rowUnchanged && write.marksVersion == marksVersion(write.writer.box)) {
                     commit(write.writer.box, write.row, write.marks);
                 }
             }
--- a/core/src/test/java/org/streamring/kernel/prepaid/RenewalPaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/RenewalPaceTest.java
@@ -7,7 +7,7 @@
 
 public class RenewalPaceTest {
     private static final int HOLDERS = 24;
-    /** One partition of the store takes so many transactions a second. */
+    /** Transactions per second that one partition of the store executes. */
     private static final double TRANSACTIONS_PER_SECOND = 200;
 
     @DataProvider
@@ -15,15 +15,15 @@
         return new Object[][] {{33}, {100}, {300}, {420}};
     }
 
-    /** Beyond its patience an entry can use tokens only as fast as witnesses note them. */
+    /** After its silence timeout, an entry can use tokens only as fast as witnesses record them. */
     @Test(dataProvider = "sizes")
-    public void aHolderRenewsThreeTimesWithinItsPatience(int entries) {
+    public void aHolderRenewsThreeTimesWithinTheSilenceTimeout(int entries) {
         long interval = RenewalPace.millis(true, Math.min(HOLDERS, entries), entries);
         assertThat(3 * interval).isLessThan(PrepaidSettings.DEFAULT.patience().toMillis());
     }
 
     @Test(dataProvider = "sizes")
-    public void allEntriesTogetherTakeLessThanHalfOfAPartition(int entries) {
+    public void allEntriesTogetherUseLessThanHalfOfAPartition(int entries) {
         double holders = HOLDERS * 1_000.0 / RenewalPace.millis(true, HOLDERS, entries);
         double others = (entries - HOLDERS) * 1_000.0 / RenewalPace.millis(false, HOLDERS, entries);
         assertThat(holders + others).isLessThan(TRANSACTIONS_PER_SECOND / 2);
--- a/core/src/test/java/org/streamring/kernel/prepaid/RequestKind.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/RequestKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** A kind of request: how many a second in all, and its tokens. */
+/** Kind of request, with its total rate per second and its token counts. */
 enum RequestKind {
     LONG(46, 12_000, 0.8, 400),
     SHORT(60, 830, 0.7, 300),
--- a/core/src/test/java/org/streamring/kernel/prepaid/RequestTally.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/RequestTally.java
@@ -1,14 +1,14 @@
 package org.streamring.kernel.prepaid;
 
-/** Tries and refusals, and the tokens that they asked for. */
+/** Counts attempted and refused requests and the tokens that they asked for. */
 final class RequestTally {
-    private int tries;
+    private int attempted;
     private int refused;
     private long tokens;
     private long tokensRefused;
 
-    void note(long asked, boolean served) {
-        tries++;
+    void count(long asked, boolean served) {
+        attempted++;
         tokens += asked;
         if (!served) {
             refused++;
@@ -17,7 +17,7 @@
     }
 
     double refusedShare() {
-        return tries == 0 ? 0 : refused / (double) tries;
+        return attempted == 0 ? 0 : refused / (double) attempted;
     }
 
     double refusedTokensShare() {
--- a/core/src/test/java/org/streamring/kernel/prepaid/TokensThroughOutagesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/TokensThroughOutagesTest.java
@@ -9,104 +9,115 @@
 import org.testng.annotations.Test;
 
 /**
- * Thirty-three entries, two of which hold each of forty accounts, through two outages of the store of some eight
- * seconds. What a fleet of that size showed: the most valuable prompts, which are the largest, were refused most, as
- * marks and leases were sized by the mean demand and a long prompt is seconds of it.
+ * Simulates 33 entries and 40 accounts, each with two home entries, through two store outages of about eight seconds.
+ * Guards against refusing the largest and most valuable prompts most often, which happened when usage caps and leases
+ * were sized by mean demand, as a long prompt equals seconds of it.
  */
 public class TokensThroughOutagesTest {
-    private static final long DAY_MILLIS = 34_000;
-    private static final long CALM_MILLIS = 20_000;
+    private static final long DURATION_MILLIS = 34_000;
+    private static final long SAMPLE_MILLIS = 20_000;
     private static final int SEEDS = 4;
-    private static final long LARGE = 5;
+    private static final long LARGEST_SIZE_CLASS = 5;
 
-    private List<BorrowingFleet> days;
+    private List<FleetSimulation> simulations;
 
     @BeforeClass
-    public void play() {
-        days = IntStream.range(0, SEEDS).mapToObj(seed -> day(seed).play()).toList();
+    public void simulate() {
+        simulations = IntStream.range(0, SEEDS)
+                .mapToObj(seed -> simulation(seed).simulate())
+                .toList();
     }
 
-    private static BorrowingFleet day(int seed) {
-        List<BorrowingFleet.Outage> outages =
-                List.of(new BorrowingFleet.Outage(5_800, 8_800), new BorrowingFleet.Outage(23_000, 8_100));
-        return new BorrowingFleet(seed, 33, 40, DAY_MILLIS, 1.3, outages, CALM_MILLIS).hot(6, 2.7, 16_000, 6_000);
+    private static FleetSimulation simulation(int seed) {
+        List<FleetSimulation.Outage> outages =
+                List.of(new FleetSimulation.Outage(5_800, 8_800), new FleetSimulation.Outage(23_000, 8_100));
+        return new FleetSimulation(seed, 33, 40, DURATION_MILLIS, 1.3, outages, SAMPLE_MILLIS)
+                .demandPeak(6, 2.7, 16_000, 6_000);
     }
 
-    /** 0.194 where marks rise by 1.3 times the demand and homes hold a quarter of their share, 0.046 now. */
+    /**
+     * The share is 0.046, compared with 0.194 if usage caps rise by 1.3 times the demand and home entries hold a
+     * quarter of their share.
+     */
     @Test
-    public void anOutageIsRiddenOut() {
-        assertThat(mean(day -> day.whileAway().refusedTokensShare())).isLessThan(0.10);
+    public void fewTokensAreRefusedDuringAnOutage() {
+        assertThat(mean(simulation -> simulation.duringOutage().refusedTokensShare()))
+                .isLessThan(0.10);
     }
 
-    /** 0.193 of them refused before. */
+    /** Guards against a regression in which 0.193 of these prompts were refused. */
     @Test
-    public void theLargestPromptsAreServedToo() {
-        assertThat(mean(day -> day.bySize().get(LARGE).refusedShare())).isLessThan(0.14);
+    public void fewOfTheLargestPromptsAreRefused() {
+        assertThat(mean(simulation ->
+                        simulation.bySize().get(LARGEST_SIZE_CLASS).refusedShare()))
+                .isLessThan(0.14);
     }
 
     @Test
-    public void whileTheStoreAnswersHardlyATokenIsRefused() {
-        assertThat(mean(day -> day.whileReachable().refusedTokensShare())).isLessThan(0.005);
+    public void hardlyAnyTokensAreRefusedWhileTheStoreAnswers() {
+        assertThat(mean(simulation -> simulation.outsideOutages().refusedTokensShare()))
+                .isLessThan(0.005);
     }
 
-    /** What marks count as used and is not: 0.049 of all limits. */
+    /** The share is 0.049 of all limits: tokens that usage caps count as used although they are not. */
     @Test
-    public void aLossOfAllEntriesCostsLittle() {
-        assertThat(mean(BorrowingFleet::lostAtSample)).isLessThan(0.05);
+    public void aLossOfAllEntriesLeavesFewTokensUnreclaimable() {
+        assertThat(mean(FleetSimulation::unreclaimableAtSample)).isLessThan(0.05);
     }
 
-    /** An account's demand of the last seconds says little of what it asks for in the next ones. */
+    /** The recent demand of an account predicts its next seconds poorly. */
     @Test
-    public void anOutageIsRiddenOutWhereAccountsSendNowMuchNowLittle() {
+    public void fewTokensAreRefusedDuringAnOutageWithBurstyAccounts() {
         double refused = IntStream.range(0, SEEDS)
-                .mapToObj(seed -> day(seed).uneven().play())
-                .mapToDouble(day -> day.whileAway().refusedTokensShare())
+                .mapToObj(seed -> simulation(seed).bursty().simulate())
+                .mapToDouble(simulation -> simulation.duringOutage().refusedTokensShare())
                 .average()
                 .orElseThrow();
         assertThat(refused).isLessThan(0.08);
     }
 
-    /** What lies about at entries that borrowed it, up to 2,000 tokens each, is out of reach of the others. */
+    /** Idle tokens at entries that borrowed them, up to 2,000 each, are out of reach of the other entries. */
     @Test
-    public void aBudgetIsOfUseToItsEnd() {
+    public void hardlyAnyRequestsAreRefusedBeforeALimitIsUsedUp() {
         double refused = IntStream.range(0, SEEDS)
-                .mapToObj(seed -> new BorrowingFleet(seed, 33, 40, DAY_MILLIS, 0.6, List.of(), CALM_MILLIS).play())
-                .peek(day -> assertThat(day.withinLimits()).isTrue())
-                .mapToDouble(day -> day.due().refusedShare())
+                .mapToObj(seed ->
+                        new FleetSimulation(seed, 33, 40, DURATION_MILLIS, 0.6, List.of(), SAMPLE_MILLIS).simulate())
+                .peek(simulation -> assertThat(simulation.withinLimits()).isTrue())
+                .mapToDouble(simulation -> simulation.covered().refusedShare())
                 .average()
                 .orElseThrow();
         assertThat(refused).isLessThan(0.003);
     }
 
     /**
-     * All of 33 entries died at the end of an outage of twelve seconds, and of the accounts' tokens up to 37 in 100
-     * stayed in their leases: half of all requests were refused from then on.
+     * Guards against a loss of 33 entries at the end of a twelve-second outage that left up to 37 in 100 of the tokens
+     * of the accounts in their leases, so that half of all further requests were refused.
      */
     @Test
-    public void aLossOfAllEntriesLateInAnOutageCostsLittle() {
+    public void aLossOfAllEntriesLateInAnOutageLeavesFewTokensUnreclaimable() {
         double lost = IntStream.range(0, SEEDS)
-                .mapToObj(seed -> new BorrowingFleet(
+                .mapToObj(seed -> new FleetSimulation(
                                 seed,
                                 33,
                                 40,
-                                DAY_MILLIS,
+                                DURATION_MILLIS,
                                 1.3,
-                                List.of(new BorrowingFleet.Outage(22_000, 12_000)),
+                                List.of(new FleetSimulation.Outage(22_000, 12_000)),
                                 33_500)
-                        .uneven()
-                        .play())
-                .mapToDouble(BorrowingFleet::lostAtSample)
+                        .bursty()
+                        .simulate())
+                .mapToDouble(FleetSimulation::unreclaimableAtSample)
                 .average()
                 .orElseThrow();
         assertThat(lost).isLessThan(0.075);
     }
 
     @Test
-    public void noAccountIsOverItsLimit() {
-        assertThat(days).allMatch(BorrowingFleet::withinLimits);
+    public void noAccountExceedsItsLimit() {
+        assertThat(simulations).allMatch(FleetSimulation::withinLimits);
     }
 
-    private double mean(ToDoubleFunction<BorrowingFleet> figure) {
-        return days.stream().mapToDouble(figure).average().orElseThrow();
+    private double mean(ToDoubleFunction<FleetSimulation> measure) {
+        return simulations.stream().mapToDouble(measure).average().orElseThrow();
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/WitnessNotesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/WitnessNotesTest.java
@@ -7,24 +7,24 @@
 import org.testng.annotations.Test;
 
 public class WitnessNotesTest {
-    private WitnessNotes notes;
+    private WitnessNotes records;
 
     @BeforeMethod
     public void setUp() {
-        notes = new WitnessNotes();
+        records = new WitnessNotes();
     }
 
     @Test
-    public void theLargestNoteIsTold() {
-        notes.note("entry-1.a", Map.of("portal", 5_000L));
-        notes.note("entry-1.a", Map.of("portal", 3_000L));
-        assertThat(notes.close("entry-1.a")).containsEntry("portal", 5_000L);
+    public void theLargestRecordIsReturned() {
+        records.note("entry-1.a", Map.of("portal", 5_000L));
+        records.note("entry-1.a", Map.of("portal", 3_000L));
+        assertThat(records.close("entry-1.a")).containsEntry("portal", 5_000L);
     }
 
     @Test
-    public void afterASuccessorAskedNothingMoreIsNoted() {
-        assertThat(notes.close("entry-1.a")).isEmpty();
-        assertThat(notes.note("entry-1.a", Map.of("portal", 5_000L))).isFalse();
-        assertThat(notes.close("entry-1.a")).isEmpty();
+    public void recordsAreRefusedAfterTheSuccessorAsked() {
+        assertThat(records.close("entry-1.a")).isEmpty();
+        assertThat(records.note("entry-1.a", Map.of("portal", 5_000L))).isFalse();
+        assertThat(records.close("entry-1.a")).isEmpty();
     }
 }
