--- a/core/src/main/java/org/streamring/kernel/ledger/BillBatch.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/BillBatch.java
@@ -4,12 +4,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Bill items written together as one object.
+ * Batch of bill items that are written together as one object.
  *
- * @param items the items
+ * @param items items of the batch
  */
 public record BillBatch(List<BillItem> items) {
-    /** Copies the list; an absent one is empty. */
+    /** Copies the list; a null list becomes an empty one. */
     public BillBatch(@Nullable List<BillItem> items) {
         this.items = items == null ? List.of() : List.copyOf(items);
     }
--- a/core/src/main/java/org/streamring/kernel/ledger/BillItem.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/BillItem.java
@@ -3,19 +3,19 @@
 import org.streamring.kernel.receipt.Receipt;
 
 /**
- * One attempt that ran, as it is billed. Two items with the same attempt are the same item.
+ * Bill item of one attempt that ran. Two items with the same attempt are the same item.
  *
  * @param attempt unique identifier of the attempt
  * @param request identifier of the request
- * @param account client account that asked
- * @param budget budget that pays
- * @param lease lease it was spent from
- * @param service service that was asked
- * @param backend incarnation of the sidecar that ran it
+ * @param account client account that sent the request
+ * @param budget budget that the tokens are charged to
+ * @param lease lease that the tokens were spent from
+ * @param service service that was requested
+ * @param backend incarnation of the sidecar that ran the attempt
  * @param promptTokens prompt tokens
  * @param answerTokens generated tokens
  * @param tokens tokens charged
- * @param epochMillis when it ended
+ * @param epochMillis time at which the attempt ended, in milliseconds since the epoch
  */
 public record BillItem(
         String attempt,
@@ -31,7 +31,7 @@
         long epochMillis) {
 
     /**
-     * The item that a sidecar's receipt stands for.
+     * Creates the item for the receipt of a sidecar.
      *
      * @param backend incarnation of the sidecar
      */
--- a/core/src/main/java/org/streamring/kernel/ledger/BudgetLeases.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/BudgetLeases.java
@@ -7,29 +7,29 @@
 import java.util.OptionalLong;
 
 /**
- * The leases that one entry holds on one budget, and the decisions about them: how much to take, when to settle, what
- * to give back. Not safe for use by several threads; {@link LeaseLedger} guards it.
+ * Leases that one entry holds on one budget, and the decisions on how many tokens to lease, when to settle leases and
+ * what to return. Not thread-safe; guarded by {@link LeaseLedger}.
  */
 final class BudgetLeases {
-    private static final long UNKNOWN = Long.MAX_VALUE;
-    private static final int FIRST_LEASE_REQUESTS = 4;
-    private static final int TIGHT_LEASES = 2;
-    private static final long FRESH_MILLIS = 1_000;
-    private static final long FIRST_BACKOFF_MILLIS = 250;
-    private static final long LONGEST_BACKOFF_MILLIS = 2_000;
-    /** Part of the covered demand below which a lease is taken at once. */
-    private static final double URGENT_LEVEL = 0.5;
-    /** The same when a transaction is written anyway. */
-    private static final double RIDING_LEVEL = 0.95;
+    private static final long UNKNOWN_REMAINING = Long.MAX_VALUE;
+    private static final int INITIAL_LEASE_REQUESTS = 4;
+    private static final int SCARCE_BUDGET_LEASES = 2;
+    private static final long REMAINING_VALID_MILLIS = 1_000;
+    private static final long MIN_BACKOFF_MILLIS = 250;
+    private static final long MAX_BACKOFF_MILLIS = 2_000;
+    /** Part of the covered demand; when fewer tokens are free, a lease is taken immediately. */
+    private static final double URGENT_FREE_PART = 0.5;
+    /** Part of the covered demand; when fewer tokens are free, a lease is taken together with another write. */
+    private static final double SHARED_WRITE_FREE_PART = 0.95;
 
     private final LedgerSettings settings;
     private final List<Lease> leases = new ArrayList<>();
     private final DemandEstimator demand = new DemandEstimator();
-    private long remainingHint = UNKNOWN;
+    private long lastRemaining = UNKNOWN_REMAINING;
     private long shortfall;
-    private long largestWaiting;
-    private long typicalWorst;
-    private long hintMillis = -FRESH_MILLIS - 1;
+    private long largestWaitingReservation;
+    private long typicalReservation;
+    private long lastRemainingMillis = -REMAINING_VALID_MILLIS - 1;
     private boolean usedUp;
     private boolean stopping;
     private long retryAtMillis;
@@ -47,23 +47,27 @@
         return leases.stream().filter(lease -> lease.id().equals(leaseId)).findFirst();
     }
 
-    /** Oldest first, so that old leases run out and settle. */
+    /**
+     * Returns the oldest lease that can cover a reservation. Old leases are used first, so that they are used up and
+     * can be settled.
+     */
     Optional<Lease> leaseFor(long tokens, long nowMillis) {
-        typicalWorst = typicalWorst == 0 ? tokens : Math.max(tokens, typicalWorst - typicalWorst / 16);
+        typicalReservation =
+                typicalReservation == 0 ? tokens : Math.max(tokens, typicalReservation - typicalReservation / 16);
         return leases.stream()
                 .filter(lease -> lease.takesReservations() && lease.free() >= tokens)
                 .findFirst();
     }
 
-    /** When to come back, if the budget is known not to cover this many tokens. */
+    /** Returns the time at which to retry, if the budget is known not to cover this number of tokens. */
     OptionalLong usedUpUntil(long tokens, long nowMillis) {
-        boolean known = usedUp && tokens > remainingHint && nowMillis < retryAtMillis;
-        return known ? OptionalLong.of(retryAtMillis) : OptionalLong.empty();
+        boolean stillUsedUp = usedUp && tokens > lastRemaining && nowMillis < retryAtMillis;
+        return stillUsedUp ? OptionalLong.of(retryAtMillis) : OptionalLong.empty();
     }
 
     void addShortfall(long tokens) {
         shortfall += tokens;
-        largestWaiting = Math.max(largestWaiting, tokens);
+        largestWaitingReservation = Math.max(largestWaitingReservation, tokens);
     }
 
     boolean hasShortfall() {
@@ -74,59 +78,62 @@
         demand.add(tokens, nowMillis);
     }
 
-    /** Takes note of what the table last showed as remaining. */
+    /** Notes the remaining tokens of the budget as last returned by the table. */
     void noteRemaining(long remaining, long nowMillis) {
-        remainingHint = remaining;
-        hintMillis = nowMillis;
+        lastRemaining = remaining;
+        lastRemainingMillis = nowMillis;
     }
 
-    /** The table does not cover what was asked; ask again later, ever more seldom. */
+    /**
+     * Notes the remaining tokens returned with a rejected request for a lease. If they do not cover the needed tokens,
+     * the next attempt is delayed with exponential back-off.
+     */
     void noteInsufficient(long remaining, long nowMillis) {
-        remainingHint = remaining;
-        hintMillis = nowMillis;
+        lastRemaining = remaining;
+        lastRemainingMillis = nowMillis;
         if (remaining >= neededNow()) {
             return;
         }
         usedUp = true;
-        backoffMillis = Math.min(LONGEST_BACKOFF_MILLIS, Math.max(FIRST_BACKOFF_MILLIS, 2 * backoffMillis));
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, Math.max(MIN_BACKOFF_MILLIS, 2 * backoffMillis));
         retryAtMillis = nowMillis + backoffMillis;
         shortfall = 0;
-        largestWaiting = 0;
+        largestWaitingReservation = 0;
     }
 
-    /** A top-up makes whatever was known about the end of the budget void. */
-    void forgetUsedUp() {
-        remainingHint = UNKNOWN;
+    /** Discards the last known remaining tokens and the back-off, after a top-up. */
+    void resetUsedUp() {
+        lastRemaining = UNKNOWN_REMAINING;
         usedUp = false;
         retryAtMillis = 0;
         backoffMillis = 0;
     }
 
-    /** A lease arrived. */
-    void noteTaken() {
+    /** Notes that a lease was taken. */
+    void noteLeaseTaken() {
         shortfall = 0;
-        largestWaiting = 0;
+        largestWaitingReservation = 0;
         usedUp = false;
         backoffMillis = 0;
     }
 
     /**
-     * Whether the remaining tokens should be read before the next plan: when a budget that was used up is due to be
-     * tried
-     * again, or before a lease is taken on an old reading. A read costs the store far less than a rejected transaction.
+     * Returns whether the remaining tokens should be read before the next plan: when a budget that was used up is due
+     * for a retry, or before a lease is taken based on an old value. A read costs the store far less than a rejected
+     * transaction.
      */
-    boolean wantsLook(long nowMillis) {
+    boolean shouldReadRemaining(long nowMillis) {
         if (usedUp) {
             return shortfall > 0 && nowMillis >= retryAtMillis;
         }
-        return nowMillis - hintMillis > FRESH_MILLIS && tokensToTake(nowMillis) > 0;
+        return nowMillis - lastRemainingMillis > REMAINING_VALID_MILLIS && tokensToTake(nowMillis) > 0;
     }
 
-    /** Takes note of a look at the remaining tokens. */
-    void noteLook(long remaining, long nowMillis) {
-        hintMillis = nowMillis;
+    /** Notes the remaining tokens read before a plan. */
+    void noteRemainingRead(long remaining, long nowMillis) {
+        lastRemainingMillis = nowMillis;
         if (remaining >= neededNow()) {
-            remainingHint = remaining;
+            lastRemaining = remaining;
             usedUp = false;
             backoffMillis = 0;
         } else {
@@ -135,39 +142,39 @@
     }
 
     private long neededNow() {
-        return Math.max(1, Math.max(largestWaiting, typicalWorst));
+        return Math.max(1, Math.max(largestWaitingReservation, typicalReservation));
     }
 
-    /** Whether something should be written without waiting for the next heartbeat. */
+    /** Returns whether something should be written before the next heartbeat. */
     boolean isUrgent(long nowMillis) {
-        boolean low = !usedUp && runsLow(nowMillis, URGENT_LEVEL) && demandSize(0, nowMillis) > 0;
-        return low || (tight() && leases.stream().anyMatch(lease -> isReturnable(lease, nowMillis)));
+        boolean low = !usedUp && runsLow(nowMillis, URGENT_FREE_PART) && demandSize(0, nowMillis) > 0;
+        return low || (isScarce() && leases.stream().anyMatch(lease -> isReturnable(lease, nowMillis)));
     }
 
     private boolean isReturnable(Lease lease, long nowMillis) {
-        return lease.free() > 0 && shouldDrain(lease, nowMillis) && (lease.quiet() || !lease.draining());
+        return lease.free() > 0 && shouldDrain(lease, nowMillis) && (lease.noAttemptsRunning() || !lease.draining());
     }
 
-    /** Whether nothing can become urgent before the next heartbeat. */
+    /** Returns whether nothing can become urgent before the next heartbeat. */
     boolean isQuiet(long nowMillis) {
-        return shortfall == 0 && !tight() && !runsLow(nowMillis, RIDING_LEVEL);
+        return shortfall == 0 && !isScarce() && !runsLow(nowMillis, SHARED_WRITE_FREE_PART);
     }
 
-    /** Whether nothing is held and nothing was spent for long. */
-    boolean isForgettable(long nowMillis) {
+    /** Returns whether no lease is held and hardly anything was spent recently, so that this object can be removed. */
+    boolean isRemovable(long nowMillis) {
         return leases.isEmpty() && shortfall == 0 && !usedUp && demand.tokensPerSecond(nowMillis) < 1;
     }
 
-    /** Tokens of the lease to take now; 0 for none. */
+    /** Returns the number of tokens to lease now; 0 for no lease. */
     long tokensToTake(long nowMillis) {
-        long needed = Math.max(shortfall, largestWaiting);
+        long needed = Math.max(shortfall, largestWaitingReservation);
         if (stopping) {
             return 0;
         }
-        if (usedUp && (needed == 0 || largestWaiting > remainingHint)) {
+        if (usedUp && (needed == 0 || largestWaitingReservation > lastRemaining)) {
             return 0;
         }
-        if (needed == 0 && !runsLow(nowMillis, RIDING_LEVEL)) {
+        if (needed == 0 && !runsLow(nowMillis, SHARED_WRITE_FREE_PART)) {
             return 0;
         }
         if (settings.sizing() == LedgerSettings.Sizing.FIXED) {
@@ -177,42 +184,44 @@
     }
 
     private long fixedSize() {
-        long atLeast = Math.max(settings.fixedTokens(), largestWaiting);
-        return remainingHint == UNKNOWN ? atLeast : Math.max(largestWaiting, Math.min(atLeast, remainingHint));
+        long atLeast = Math.max(settings.fixedTokens(), largestWaitingReservation);
+        return lastRemaining == UNKNOWN_REMAINING
+                ? atLeast
+                : Math.max(largestWaitingReservation, Math.min(atLeast, lastRemaining));
     }
 
     private long demandSize(long needed, long nowMillis) {
-        long single = Math.max(1, Math.max(largestWaiting, needed == 0 ? typicalWorst : 0));
-        long wanted = Math.max(needed, coverTokens(nowMillis) - freeTokens());
-        wanted = Math.max(wanted, FIRST_LEASE_REQUESTS * typicalWorst);
-        if (remainingHint == UNKNOWN) {
-            return Math.max(wanted, single);
+        long minimumSize = Math.max(1, Math.max(largestWaitingReservation, needed == 0 ? typicalReservation : 0));
+        long desiredSize = Math.max(needed, coverTokens(nowMillis) - freeTokens());
+        desiredSize = Math.max(desiredSize, INITIAL_LEASE_REQUESTS * typicalReservation);
+        if (lastRemaining == UNKNOWN_REMAINING) {
+            return Math.max(desiredSize, minimumSize);
         }
         long share = fairShare();
-        long capped = Math.max(single, Math.min(wanted, share));
-        boolean onlyAhead = needed == 0;
-        return onlyAhead && capped > share ? 0 : capped;
+        long cappedSize = Math.max(minimumSize, Math.min(desiredSize, share));
+        boolean onlyAheadOfDemand = needed == 0;
+        return onlyAheadOfDemand && cappedSize > share ? 0 : cappedSize;
     }
 
-    /** Part of what remains that one entry may hold ahead of demand. */
+    /** Returns the part of the remaining tokens that one entry may lease ahead of demand. */
     private long fairShare() {
-        return remainingHint / settings.remainingDivisor();
+        return lastRemaining / settings.remainingDivisor();
     }
 
     private long coverTokens(long nowMillis) {
         return (long) (demand.tokensPerSecond(nowMillis) * settings.cover().toSeconds());
     }
 
-    private boolean runsLow(long nowMillis, double level) {
+    private boolean runsLow(long nowMillis, double freePart) {
         if (settings.sizing() == LedgerSettings.Sizing.FIXED) {
             return false;
         }
         double rate = demand.tokensPerSecond(nowMillis);
-        boolean inUse = rate * settings.cover().toSeconds() > typicalWorst;
-        return inUse && freeTokens() < level * Math.min(coverTokens(nowMillis), fairShare());
+        boolean inUse = rate * settings.cover().toSeconds() > typicalReservation;
+        return inUse && freeTokens() < freePart * Math.min(coverTokens(nowMillis), fairShare());
     }
 
-    /** Tokens that new requests may use. */
+    /** Returns the tokens that new requests may use. */
     long freeTokens() {
         return leases.stream()
                 .filter(Lease::takesReservations)
@@ -220,7 +229,7 @@
                 .sum();
     }
 
-    /** Marks leases that should take no more reservations, so that they can settle. */
+    /** Stops new reservations on leases that should be settled. */
     void drainOldLeases(long nowMillis) {
         leases.stream().filter(lease -> shouldDrain(lease, nowMillis)).forEach(Lease::drain);
     }
@@ -233,41 +242,44 @@
             return true;
         }
         boolean old = nowMillis - lease.openedMillis() >= settings.settleAfter().toMillis();
-        boolean otherCovers = freeTokens() - lease.free() >= Math.max(typicalWorst, coverTokens(nowMillis) / 2);
+        boolean otherLeasesSuffice =
+                freeTokens() - lease.free() >= Math.max(typicalReservation, coverTokens(nowMillis) / 2);
         boolean idle = nowMillis - lastUsedMillis() >= idleReturn().toMillis();
-        boolean uselessRest = settings.returnRests() && lease.free() < typicalWorst && (tight() || usableLeases() > 1);
-        return (old && otherCovers) || idle || uselessRest || usedUp(lease);
+        boolean remainderTooSmall = settings.returnSmallRemainders()
+                && lease.free() < typicalReservation
+                && (isScarce() || usableLeaseCount() > 1);
+        return (old && otherLeasesSuffice) || idle || remainderTooSmall || usedUp(lease);
     }
 
-    /** Leases are used oldest first, so the budget as a whole counts: a lease that waits its turn is not idle. */
+    /**
+     * Returns the time of the last use of any lease of the budget. Leases are used oldest first, so a newer lease that
+     * has not been used yet is not idle.
+     */
     private long lastUsedMillis() {
         return leases.stream().mapToLong(Lease::lastUsedMillis).max().orElse(0);
     }
 
-    /**
-     * From now on every lease drains, for a planned stop, also one that an open plan still brings; no further one is
-     * taken.
-     */
+    /** Drains all leases for a planned stop, including one that an open plan still adds, and takes no further lease. */
     void drainAll() {
         stopping = true;
         leases.forEach(Lease::drain);
     }
 
     private boolean usedUp(Lease lease) {
-        return lease.free() == 0 && lease.quiet();
+        return lease.free() == 0 && lease.noAttemptsRunning();
     }
 
-    private long usableLeases() {
+    private long usableLeaseCount() {
         return leases.stream().filter(Lease::takesReservations).count();
     }
 
     private Duration idleReturn() {
-        return tight() ? settings.tightIdleReturn() : settings.idleReturn();
+        return isScarce() ? settings.tightIdleReturn() : settings.idleReturn();
     }
 
-    /** Whether what remains is so little that rests must not lie about. */
-    private boolean tight() {
-        return remainingHint != UNKNOWN
-                && remainingHint < TIGHT_LEASES * FIRST_LEASE_REQUESTS * Math.max(1, typicalWorst);
+    /** Returns whether so few tokens remain that unused remainders should be returned quickly. */
+    private boolean isScarce() {
+        return lastRemaining != UNKNOWN_REMAINING
+                && lastRemaining < SCARCE_BUDGET_LEASES * INITIAL_LEASE_REQUESTS * Math.max(1, typicalReservation);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/ledger/DemandEstimator.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/DemandEstimator.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Smoothed rate of spending, in tokens a second, with an exponential window. */
+/** Exponentially smoothed spending rate, in tokens per second. */
 final class DemandEstimator {
     private static final double WINDOW_SECONDS = 30;
     private static final double MILLIS = Duration.ofSeconds(1).toMillis();
--- a/core/src/main/java/org/streamring/kernel/ledger/HeldRecord.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/HeldRecord.java
@@ -4,15 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Why tokens are held: nobody reachable can say whether they were spent.
+ * Text of a row of held tokens. Tokens are held if no reachable process can confirm whether they were spent.
  *
- * @param budget budget concerned
- * @param leaseId lease they were taken with
- * @param attempts the attempts in doubt; empty if every receipt for the lease at the sidecars waited for counts
+ * @param budget budget that the tokens belong to
+ * @param leaseId lease that the tokens were taken with
+ * @param attempts attempts of unknown outcome; empty if every receipt for the lease at the sidecars in {@code
+ *     waitingFor} counts
  * @param waitingFor incarnations of the sidecars whose receipts are missing
  */
 public record HeldRecord(String budget, String leaseId, List<String> attempts, List<String> waitingFor) {
-    /** Copies the lists; an absent one is empty. */
+    /** Copies the lists; a null list becomes an empty one. */
     public HeldRecord(
             String budget, String leaseId, @Nullable List<String> attempts, @Nullable List<String> waitingFor) {
         this.budget = budget;
@@ -21,7 +22,7 @@
         this.waitingFor = waitingFor == null ? List.of() : List.copyOf(waitingFor);
     }
 
-    /** Whether a receipt for this attempt settles part of what is held. */
+    /** Returns whether a receipt for this attempt settles part of the held tokens. */
     public boolean covers(String attempt) {
         return attempts.isEmpty() || attempts.contains(attempt);
     }
--- a/core/src/main/java/org/streamring/kernel/ledger/Lease.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/Lease.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One lease as its holder keeps it. Not safe for use by several threads; {@link LeaseLedger} guards it. */
+/** State of one lease in the entry that holds it. Not thread-safe; guarded by {@link LeaseLedger}. */
 final class Lease {
     private final String id;
     private final String budget;
@@ -63,13 +63,13 @@
         return granted - reserved - spent;
     }
 
-    /** Tokens of attempts that are running or in doubt, and tokens spent. */
+    /** Returns the tokens of running attempts and of attempts of unknown outcome, plus the tokens spent. */
     long committed() {
         return reserved + spent;
     }
 
-    /** Whether no attempt is running; attempts in doubt do not count. */
-    boolean quiet() {
+    /** Returns whether no attempt is running; attempts of unknown outcome do not count as running. */
+    boolean noAttemptsRunning() {
         return reservations.size() == uncertain.size();
     }
 
@@ -85,7 +85,7 @@
         draining = true;
     }
 
-    /** A lease in a transaction whose outcome is not known takes no reservations. */
+    /** Sets whether the lease is part of a transaction of unknown outcome; it then accepts no reservations. */
     void freeze(boolean freeze) {
         frozen = freeze;
     }
@@ -96,7 +96,12 @@
         lastUsedMillis = nowMillis;
     }
 
-    /** Books what an attempt spent and releases the rest; a second call for an attempt changes nothing. */
+    /**
+     * Records the tokens that an attempt spent and releases the remainder of its reservation. Repeated calls for an
+     * attempt have no effect.
+     *
+     * @return whether the attempt had a reservation
+     */
     boolean finish(String attempt, BillItem item) {
         if (!release(attempt)) {
             return false;
@@ -106,7 +111,11 @@
         return true;
     }
 
-    /** Releases what was set aside for an attempt that is known not to have run. */
+    /**
+     * Releases the reservation of an attempt that did not run.
+     *
+     * @return whether the attempt had a reservation
+     */
     boolean release(String attempt) {
         Long tokens = reservations.remove(attempt);
         if (tokens == null) {
@@ -123,7 +132,7 @@
         }
     }
 
-    /** Attempts in doubt, with the sidecar that can say what became of each. */
+    /** Returns the attempts of unknown outcome, each with the sidecar that has its receipt. */
     Map<String, String> uncertain() {
         return Map.copyOf(uncertain);
     }
@@ -136,7 +145,10 @@
         return List.copyOf(items);
     }
 
-    /** Whether it may be made smaller; once is enough, as the rest goes back when it settles. */
+    /**
+     * Returns whether the lease may be made smaller. It is made smaller at most once, as the remainder is returned when
+     * it is settled.
+     */
     boolean canShrink() {
         return draining && !shrunk && free() > 0;
     }
--- a/core/src/main/java/org/streamring/kernel/ledger/LeaseLedger.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LeaseLedger.java
@@ -23,24 +23,25 @@
 import org.streamring.kernel.table.TransactionResult.Rejected;
 
 /**
- * The leases of one incarnation of an entry. Requests reserve their worst case here before they run; a runner asks for
- * a {@link LedgerPlan}, applies it, and hands back what the table answered.
+ * Leases of one incarnation of an entry. Requests reserve their worst case here before they run. A runner requests a
+ * {@link LedgerPlan}, applies it to the table and passes the answer of the table back.
  *
- * <p>At most one plan is open. While its outcome is not known, the same plan is handed out again: it either takes
- * effect once or is found to have taken effect, because it replaces the entry's own row at its expected version. What
- * it takes is not spendable before that, and what it gives back is not spendable from the moment it was planned.
+ * <p>At most one plan is open. While its outcome is unknown, {@link #plan} returns the same plan again: because it
+ * replaces the row of the entry at its expected version, it either takes effect once or is found to have taken effect.
+ * Tokens that a plan leases are not spendable until it took effect; tokens that it returns are not spendable from the
+ * moment of planning.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Thread-safe. No other lock is acquired while its lock is held.
  */
 public final class LeaseLedger {
-    private static final long SHORTEST_PAUSE_MILLIS = 1_000;
-    private static final int MAX_LOOKS = 100;
+    private static final long MIN_WRITE_INTERVAL_MILLIS = 1_000;
+    private static final int MAX_REMAINING_READS = 100;
 
     private final String incarnation;
     private final LedgerSettings settings;
     private final Map<String, BudgetLeases> budgets = new LinkedHashMap<>();
-    /** Budgets that were used since the last heartbeat; only these are looked over between heartbeats. */
-    private final Set<String> active = new LinkedHashSet<>();
+    /** Budgets used since the last heartbeat; only these are checked between heartbeats. */
+    private final Set<String> recentlyUsed = new LinkedHashSet<>();
 
     private final PeerRegister peers = new PeerRegister();
     private String address;
@@ -60,8 +61,8 @@
      * Creates the ledger of a new incarnation.
      *
      * @param incarnation unique name of this run of the entry
-     * @param address where callers reach the entry, for operators
-     * @param settings how leases are taken and returned
+     * @param address address at which callers reach the entry, shown to operators
+     * @param settings sizing and return of leases
      */
     public LeaseLedger(String incarnation, String address, LedgerSettings settings) {
         this.incarnation = incarnation;
@@ -69,18 +70,18 @@
         this.settings = settings;
     }
 
-    /** Name of this incarnation. */
+    /** Returns the name of this incarnation. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** Sets tokens aside for the worst case of an attempt. */
+    /** Reserves tokens for the worst case of an attempt. */
     public synchronized ReserveResult reserve(String attempt, String budget, long tokens, long nowMillis) {
         if (fenced) {
             return new ReserveResult.Fenced();
         }
         BudgetLeases leases = budgets.computeIfAbsent(budget, name -> new BudgetLeases(settings));
-        active.add(budget);
+        recentlyUsed.add(budget);
         Optional<Lease> lease = leases.leaseFor(tokens, nowMillis);
         if (lease.isPresent()) {
             lease.get().reserve(attempt, tokens, nowMillis);
@@ -95,7 +96,7 @@
         return new ReserveResult.NeedsLease();
     }
 
-    /** Books what an attempt spent; repeated calls change nothing. */
+    /** Records the tokens that an attempt spent; returns false if it has no reservation, as on repeated calls. */
     public synchronized boolean finish(Reservation reservation, BillItem item, long nowMillis) {
         Optional<Lease> lease = lease(reservation);
         if (lease.isEmpty() || !lease.get().finish(reservation.attempt(), item)) {
@@ -105,69 +106,74 @@
         return true;
     }
 
-    /** Gives back what was set aside for an attempt that did not run. */
+    /** Releases the reservation of an attempt that did not run; returns false if it has none. */
     public synchronized boolean release(Reservation reservation) {
         return lease(reservation)
                 .map(lease -> lease.release(reservation.attempt()))
                 .orElse(false);
     }
 
-    /** Keeps what was set aside for an attempt whose sidecar can't be asked now. */
+    /** Keeps the reservation of an attempt whose sidecar cannot be reached, and marks its outcome as unknown. */
     public synchronized void markUncertain(Reservation reservation, String sidecarIncarnation) {
         lease(reservation).ifPresent(lease -> lease.markUncertain(reservation.attempt(), sidecarIncarnation));
     }
 
     private Optional<Lease> lease(Reservation reservation) {
-        active.add(reservation.budget());
+        recentlyUsed.add(reservation.budget());
         BudgetLeases leases = budgets.get(reservation.budget());
         return leases == null ? Optional.empty() : leases.find(reservation.leaseId());
     }
 
-    /** Asks that a sidecar be recorded as one that may be given work. */
+    /** Schedules recording a sidecar in the table as one that may receive attempts. */
     public synchronized void announcePeer(String sidecarIncarnation) {
         peers.announce(sidecarIncarnation);
     }
 
-    /** Notes that a sidecar is gone; its record is dropped once no lease from before is open. */
+    /** Notes that a sidecar is gone. Its record is removed when all leases taken before then are settled. */
     public synchronized void retirePeer(String sidecarIncarnation, long nowMillis) {
         peers.retire(sidecarIncarnation, nowMillis);
     }
 
-    /** Whether the table shows that this sidecar may be given work, so that a closer will ask it for receipts. */
+    /**
+     * Returns whether the table names this sidecar as one that may receive attempts, so that an entry that closes this
+     * incarnation asks it for receipts.
+     */
     public synchronized boolean mayUse(String sidecarIncarnation) {
         return !fenced && peers.isRecorded(sidecarIncarnation);
     }
 
-    /** Sets the configuration version that the entry's row reports. */
+    /** Sets the configuration version to write to the entry's row. */
     public synchronized void reportConfigVersion(long version) {
         configVersion = version;
     }
 
-    /** Tells operators where callers reach the entry, from the next heartbeat on. */
+    /** Sets the address at which callers reach the entry; it is written with the next heartbeat. */
     public synchronized void reportAddress(String newAddress) {
         address = newAddress;
     }
 
-    /** Forgets that a budget was used up, after a top-up. */
+    /** Notes that a budget was topped up, so that it no longer counts as used up. */
     public synchronized void toppedUp(String budget) {
         BudgetLeases leases = budgets.get(budget);
         if (leases != null) {
-            leases.forgetUsedUp();
+            leases.resetUsedUp();
         }
     }
 
-    /** Whether this incarnation was closed by another entry. */
+    /** Returns whether this incarnation was closed by another entry or given up. */
     public synchronized boolean isFenced() {
         return fenced;
     }
 
-    /** Whether a request waits for a lease or a sidecar for its record. */
+    /**
+     * Returns whether a plan is open, a request waits for a lease, or changes of the recorded sidecars must be written.
+     */
     public synchronized boolean wantsPlanSoon() {
-        boolean waiting = activeBudgets().anyMatch(BudgetLeases::hasShortfall);
+        boolean waiting = recentlyUsedBudgets().anyMatch(BudgetLeases::hasShortfall);
         return pending != null || waiting || peers.hasChanges();
     }
 
-    /** Tokens held in leases on a budget, free or set aside. */
+    /** Returns the tokens in leases on a budget that are not spent, including reserved ones. */
     public synchronized long leasedTokens(String budget) {
         BudgetLeases leases = budgets.get(budget);
         return leases == null
@@ -177,35 +183,35 @@
                         .sum();
     }
 
-    /** Tokens of leases on a budget that new requests may use. */
+    /** Returns the tokens of leases on a budget that new requests may use. */
     public synchronized long freeTokens(String budget) {
         BudgetLeases leases = budgets.get(budget);
         return leases == null ? 0 : leases.freeTokens();
     }
 
-    /** Number of open leases. */
+    /** Returns the number of open leases. */
     public synchronized int openLeases() {
         return budgets.values().stream()
                 .mapToInt(leases -> leases.leases().size())
                 .sum();
     }
 
-    /** Whether nothing is held in leases and no open plan can still bring one. */
+    /** Returns whether no lease is open and no open plan can still add one. */
     public synchronized boolean isSettled() {
         boolean mayArrive = pending != null && !pending.taken().isEmpty();
         return openLeases() == 0 && !mayArrive;
     }
 
-    /** Drains every lease, for a planned stop; plans then settle them as attempts end. */
+    /** Drains all leases for a planned stop; subsequent plans settle them as their attempts end. */
     public synchronized void drainAll() {
         stopping = true;
         budgets.values().forEach(BudgetLeases::drainAll);
     }
 
     /**
-     * The next plan, or the open one again; empty if there is nothing to write yet. The first plan only creates the
-     * entry's row: creating it is not fenced, so if it comes late, after the incarnation was closed, it must not bring
-     * leases with it.
+     * Returns the next plan, or the open one again; empty if there is nothing to write yet. The first plan only creates
+     * the row of the entry and takes no leases: creation is not fenced, so the plan may be applied late, after the
+     * incarnation was closed.
      */
     public synchronized Optional<LedgerPlan> plan(long nowMillis) {
         if (fenced) {
@@ -221,27 +227,30 @@
         TransactionDraft draft = new TransactionDraft(incarnation, sequence + 1);
         draft.entryRow(entryRowVersion, entryRecord(draft.id()));
         if (entryRowVersion == 0 || peers.hasChanges()) {
-            draft.peersRow(peersRowVersion, new PeersRecord(peers.wanted()));
+            draft.peersRow(peersRowVersion, new PeersRecord(peers.announced()));
         }
         if (entryRowVersion != 0) {
             planBudgets(draft, nowMillis);
         }
-        if (draft.onlyEntryRow() && entryRowVersion != 0 && !isHeartbeatDue(nowMillis)) {
+        if (draft.containsOnlyEntryRow() && entryRowVersion != 0 && !isHeartbeatDue(nowMillis)) {
             return Optional.empty();
         }
-        peers.freeze();
+        peers.rememberPlanned();
         pending = draft.finish();
         return Optional.of(pending.plan());
     }
 
-    private Stream<BudgetLeases> activeBudgets() {
-        return active.stream().flatMap(name -> Optional.ofNullable(budgets.get(name)).stream());
+    private Stream<BudgetLeases> recentlyUsedBudgets() {
+        return recentlyUsed.stream().flatMap(name -> Optional.ofNullable(budgets.get(name)).stream());
     }
 
-    /** At a heartbeat, and while the process stops, every budget is looked over. */
+    /**
+     * Returns the budgets to check: all of them at a heartbeat and while the process stops, otherwise the recently used
+     * ones.
+     */
     private Set<String> budgetsToPlan(long nowMillis) {
         boolean all = isHeartbeatDue(nowMillis) || stopping;
-        return all ? budgets.keySet() : active;
+        return all ? budgets.keySet() : recentlyUsed;
     }
 
     private boolean isDue(long nowMillis) {
@@ -252,12 +261,16 @@
         return nowMillis - lastCommitMillis >= settings.heartbeat().toMillis();
     }
 
-    /** What is not urgent waits for the next heartbeat and is written together with it. */
+    /**
+     * Returns whether something must be written before the next heartbeat; other changes are written together with the
+     * heartbeat.
+     */
     private boolean isUrgent(long nowMillis) {
-        boolean pause = nowMillis - lastCommitMillis < SHORTEST_PAUSE_MILLIS;
+        boolean tooSoon = nowMillis - lastCommitMillis < MIN_WRITE_INTERVAL_MILLIS;
         return peers.hasChanges()
                 || stopping
-                || activeBudgets().anyMatch(leases -> leases.hasShortfall() || (!pause && leases.isUrgent(nowMillis)));
+                || recentlyUsedBudgets()
+                        .anyMatch(leases -> leases.hasShortfall() || (!tooSoon && leases.isUrgent(nowMillis)));
     }
 
     private EntryRecord entryRecord(String transactionId) {
@@ -281,9 +294,9 @@
             }
             planBudget(name, leases, draft, nowMillis);
             if (leases.isQuiet(nowMillis)) {
-                active.remove(name);
+                recentlyUsed.remove(name);
             }
-            if (all && leases.isForgettable(nowMillis)) {
+            if (all && leases.isRemovable(nowMillis)) {
                 budgets.remove(name);
             }
         }
@@ -291,29 +304,28 @@
 
     private void planBudget(String budget, BudgetLeases leases, TransactionDraft draft, long nowMillis) {
         leases.drainOldLeases(nowMillis);
-        long back = 0;
+        long returned = 0;
         for (Lease lease : leases.leases()) {
             if (!draft.hasRoom() || !settling) {
                 break;
             }
-            if (lease.draining() && lease.quiet() && draft.fits(lease)) {
-                back += draft.settle(budget, lease);
+            if (lease.draining() && lease.noAttemptsRunning() && draft.fits(lease)) {
+                returned += draft.settle(budget, lease);
             } else if (lease.canShrink()) {
-                back += draft.shrink(lease);
+                returned += draft.shrink(lease);
             }
         }
-        long take = leases.tokensToTake(nowMillis);
-        if (take > 0) {
-            draft.take(budget, incarnation + "/" + Long.toString(++leaseCounter, Character.MAX_RADIX), take);
+        long tokensToLease = leases.tokensToTake(nowMillis);
+        if (tokensToLease > 0) {
+            draft.take(budget, incarnation + "/" + Long.toString(++leaseCounter, Character.MAX_RADIX), tokensToLease);
         }
-        draft.moveRemaining(budget, back - take);
+        draft.addToRemaining(budget, returned - tokensToLease);
     }
 
     /**
-     * Notes that the open plan got no answer. It stays open; but if it was to create the entry's row, the incarnation
-     * is
-     * given up: it holds nothing yet, and creating the row again after somebody has closed it would bring a closed
-     * incarnation back.
+     * Notes that the open plan received no answer. The plan stays open, unless it creates the row of the entry. In that
+     * case, the incarnation is given up: it holds no leases yet, and creating the row again after another entry has
+     * closed the incarnation would reopen it.
      */
     public synchronized void noAnswer() {
         if (entryRowVersion == 0) {
@@ -321,46 +333,46 @@
         }
     }
 
-    /** Gives this incarnation up, because a sidecar was told that it is closed. */
+    /** Gives this incarnation up, because a sidecar reported that it is closed. */
     public synchronized void giveUp() {
         fenced = true;
     }
 
-    /** Drops the open plan, which must not have been sent to the table. */
+    /** Discards the open plan, which must not have been sent to the table. */
     public synchronized void abandonUnsent() {
-        requirePending().thaw();
+        requirePending().unfreeze();
         pending = null;
         sequence++;
     }
 
-    /** Whether plans settle leases; not while their bills can't be written. */
+    /** Sets whether plans settle leases. They must not while bills cannot be written. */
     public synchronized void allowSettling(boolean allowed) {
         settling = allowed;
     }
 
     /**
-     * Budgets whose remaining tokens should be read before the next plan. Looking costs a read, trying in vain a
-     * transaction.
+     * Returns the budgets whose remaining tokens should be read before the next plan. A check costs one read, whereas a
+     * rejected attempt costs a transaction.
      */
     public synchronized List<String> budgetsToLookAt(long nowMillis) {
         if (pending != null || fenced || entryRowVersion == 0 || !isDue(nowMillis)) {
             return List.of();
         }
         return budgetsToPlan(nowMillis).stream()
-                .filter(name -> budgets.containsKey(name) && budgets.get(name).wantsLook(nowMillis))
-                .limit(MAX_LOOKS)
+                .filter(name -> budgets.containsKey(name) && budgets.get(name).shouldReadRemaining(nowMillis))
+                .limit(MAX_REMAINING_READS)
                 .toList();
     }
 
-    /** Takes in what a look showed as remaining of a budget. */
+    /** Notes the remaining tokens of a budget read before a plan. */
     public synchronized void lookedAt(String budget, long remaining, long nowMillis) {
         BudgetLeases leases = budgets.get(budget);
         if (leases != null) {
-            leases.noteLook(remaining, nowMillis);
+            leases.noteRemainingRead(remaining, nowMillis);
         }
     }
 
-    /** Takes in the table's answer to the open plan. */
+    /** Processes the answer of the table to the open plan. */
     public synchronized LedgerStep resolve(TransactionResult result, long nowMillis) {
         PlannedTransaction open = requirePending();
         if (result instanceof Committed committed) {
@@ -372,7 +384,7 @@
             return resolveEntryRow(open, entryRow.get());
         }
         pending = null;
-        open.thaw();
+        open.unfreeze();
         for (Failure failure : rejected.failures()) {
             open.budgetOfRemainingRow(failure.key()).ifPresent(budget -> {
                 long remaining = failure.current().map(Row::amount).orElse(0L);
@@ -384,27 +396,27 @@
     }
 
     private LedgerStep resolveEntryRow(PlannedTransaction open, Failure failure) {
-        boolean ours = failure.current()
+        boolean tookEffect = failure.current()
                 .map(row -> RowText.read(row.text(), EntryRecord.class))
                 .filter(record -> record.state() == EntryRecord.State.OPEN)
                 .map(record ->
                         record.transactionId().equals(open.plan().transaction().id()))
                 .orElse(false);
-        if (ours) {
+        if (tookEffect) {
             return new LedgerStep.ReadBack(open.writtenKeys());
         }
         fenced = true;
         return new LedgerStep.FencedOff();
     }
 
-    /** Takes in the rows of a plan whose earlier try is known to have taken effect. */
+    /** Processes the rows of the open plan after an earlier attempt is known to have taken effect. */
     public synchronized LedgerStep resolveReadBack(List<Row> rows, long nowMillis) {
         return applied(requirePending(), rows, nowMillis);
     }
 
     private PlannedTransaction requirePending() {
         if (pending == null) {
-            throw new IllegalStateException("no plan is open");
+            throw new IllegalStateException("no ledger plan is open");
         }
         return pending;
     }
@@ -426,9 +438,9 @@
         }
         lastCommitMillis = nowMillis;
         peers.committed();
-        open.settledLeases().forEach(this::forget);
+        open.settledLeases().forEach(this::removeSettled);
         open.shrunk().forEach(lease -> applyShrink(lease, byKey));
-        open.thaw();
+        open.unfreeze();
         open.taken().forEach(taken -> applyTake(taken, byKey, nowMillis));
         budgets.forEach((name, leases) -> {
             Row remaining = byKey.get(RowKeys.remaining(name));
@@ -439,7 +451,7 @@
         return new LedgerStep.Done(open.plan());
     }
 
-    private void forget(Lease settled) {
+    private void removeSettled(Lease settled) {
         budgets.values().forEach(leases -> leases.leases().remove(settled));
     }
 
@@ -457,10 +469,10 @@
         }
         BudgetLeases leases = budgets.get(taken.budget());
         leases.leases().add(new Lease(taken.leaseId(), taken.budget(), row.amount(), row.version(), nowMillis));
-        leases.noteTaken();
+        leases.noteLeaseTaken();
     }
 
-    /** Leases whose receipts a sidecar must keep for now; all others of this incarnation are settled. */
+    /** Returns the leases whose receipts sidecars must keep; all other leases of this incarnation are settled. */
     public synchronized Set<String> openLeaseIds() {
         Set<String> ids = new HashSet<>();
         budgets.values().stream()
@@ -470,7 +482,7 @@
         return ids;
     }
 
-    /** Reservations in doubt that wait for this sidecar's receipts. */
+    /** Returns the reservations of unknown outcome for which this sidecar has the receipts. */
     public synchronized List<Reservation> uncertainAt(String sidecarIncarnation) {
         List<Reservation> found = new ArrayList<>();
         budgets.values().stream().flatMap(leases -> leases.leases().stream()).forEach(lease -> lease.uncertain()
--- a/core/src/main/java/org/streamring/kernel/ledger/LeaseRecord.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LeaseRecord.java
@@ -1,8 +1,8 @@
 package org.streamring.kernel.ledger;
 
 /**
- * Text of a lease's row; the row's amount is the lease's tokens.
+ * Text of the row of a lease; the amount of the row is the number of leased tokens.
  *
- * @param budget budget it was taken from
+ * @param budget budget that the lease was taken from
  */
 public record LeaseRecord(String budget) {}
--- a/core/src/main/java/org/streamring/kernel/ledger/LedgerPlan.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LedgerPlan.java
@@ -4,11 +4,11 @@
 import org.streamring.kernel.table.Transaction;
 
 /**
- * One transaction of an entry on its leases, with the bill batch to be written before it.
+ * Transaction of an entry on its leases, with the bill batch to write before it.
  *
- * @param sequence position in the order of the entry's transactions
- * @param transaction what to apply
- * @param billItems items of the leases that it settles
+ * @param sequence position in the order of the transactions of the entry
+ * @param transaction transaction to apply
+ * @param billItems bill items of the leases that it settles
  * @param settledLeases leases that it settles
  */
 public record LedgerPlan(
@@ -20,9 +20,9 @@
     }
 
     /**
-     * A lease that a plan settles.
+     * Lease that a plan settles.
      *
-     * @param leaseId the lease
+     * @param leaseId identifier of the lease
      * @param held whether part of it stays held, so that sidecars must keep its receipts
      */
     public record SettledLease(String leaseId, boolean held) {}
--- a/core/src/main/java/org/streamring/kernel/ledger/LedgerSettings.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LedgerSettings.java
@@ -3,18 +3,19 @@
 import java.time.Duration;
 
 /**
- * How an entry takes, holds and returns leases. Every setting trades held tokens against store writes and refusals;
- * none can cause overspend.
+ * Settings of how an entry takes, holds and returns leases. Each setting is a trade-off between leased tokens, store
+ * writes and refusals; none can cause overspending.
  *
- * @param sizing how lease sizes are chosen
- * @param fixedTokens lease size under {@link Sizing#FIXED}
- * @param cover time for which a lease should carry the smoothed demand
- * @param remainingDivisor a lease takes at most this fraction of what remains, unless one request needs more
+ * @param sizing how lease sizes are determined
+ * @param fixedTokens lease size with {@link Sizing#FIXED}
+ * @param cover period of smoothed demand that a lease should cover
+ * @param remainingDivisor a lease takes at most the remaining tokens divided by this number, unless a single request
+ *     needs more
  * @param settleAfter age after which a lease is replaced and settled
- * @param idleReturn time without use after which a lease goes back
- * @param tightIdleReturn the same while the budget is nearly used up
- * @param returnRests whether a rest that is too small for one request goes back at once
- * @param heartbeat time between transactions when there is nothing else to write
+ * @param idleReturn time without use after which a lease is returned
+ * @param tightIdleReturn time without use after which a lease is returned if the budget is nearly used up
+ * @param returnSmallRemainders whether a remainder that is too small for one request is returned immediately
+ * @param heartbeat interval between transactions if there is nothing else to write
  */
 public record LedgerSettings(
         Sizing sizing,
@@ -24,18 +25,18 @@
         Duration settleAfter,
         Duration idleReturn,
         Duration tightIdleReturn,
-        boolean returnRests,
+        boolean returnSmallRemainders,
         Duration heartbeat) {
 
-    /** How lease sizes are chosen. */
+    /** Method that determines lease sizes. */
     public enum Sizing {
-        /** From smoothed demand. */
+        /** Sizes are derived from the smoothed demand. */
         DEMAND,
-        /** Always the same; the baseline for measurements. */
+        /** All leases have the same size; baseline for measurements. */
         FIXED
     }
 
-    /** Settings for users to whom a false refusal hurts most: large leases, settled late. */
+    /** Returns settings that minimize false refusals: large leases, settled late. */
     public static LedgerSettings patient() {
         return new LedgerSettings(
                 Sizing.DEMAND,
@@ -49,7 +50,7 @@
                 Duration.ofSeconds(10));
     }
 
-    /** Settings for users who want spend settled soonest: smaller leases, settled early. */
+    /** Returns settings that settle spent tokens early: smaller leases, settled soon. */
     public static LedgerSettings prompt() {
         return new LedgerSettings(
                 Sizing.DEMAND,
@@ -63,7 +64,7 @@
                 Duration.ofSeconds(10));
     }
 
-    /** The baseline: leases of a fixed size, kept until used up. */
+    /** Returns the baseline settings: leases of a fixed size, kept until used up. */
     public static LedgerSettings fixed(long tokens) {
         Duration never = Duration.ofDays(1);
         return new LedgerSettings(
--- a/core/src/main/java/org/streamring/kernel/ledger/LedgerStep.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LedgerStep.java
@@ -2,12 +2,15 @@
 
 import java.util.List;
 
-/** What to do after the table answered. */
+/** Next step after the table answered a plan. */
 public sealed interface LedgerStep {
-    /** The plan took effect; its settled leases may be acknowledged to sidecars. */
+    /** The plan took effect; its settled leases may be acknowledged to the sidecars. */
     record Done(LedgerPlan plan) implements LedgerStep {}
 
-    /** An earlier try of the plan took effect; read these rows and hand them over. */
+    /**
+     * An earlier attempt of the plan took effect; the caller must read these rows and pass them to {@link
+     * LeaseLedger#resolveReadBack}.
+     */
     record ReadBack(List<String> keys) implements LedgerStep {
         /** Copies the list. */
         public ReadBack {
@@ -15,7 +18,7 @@
         }
     }
 
-    /** The plan did not and will not take effect; plan again. */
+    /** The plan did not take effect and never will; a new plan is needed. */
     record PlanAgain() implements LedgerStep {}
 
     /** Another entry has closed this incarnation. */
--- a/core/src/main/java/org/streamring/kernel/ledger/PeerRegister.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/PeerRegister.java
@@ -7,56 +7,56 @@
 import java.util.TreeSet;
 
 /**
- * The sidecars that the entry's row names as possible holders of receipts. A sidecar is usable only once the table is
- * known to name it. Guarded by {@link LeaseLedger}.
+ * Sidecars that the table names as possible holders of receipts for this incarnation. A sidecar may be used only after
+ * the table is known to name it. Guarded by {@link LeaseLedger}.
  */
 final class PeerRegister {
-    private final Set<String> wanted = new TreeSet<>();
+    private final Set<String> announced = new TreeSet<>();
     private final Map<String, Long> retired = new HashMap<>();
-    private Set<String> written = Set.of();
+    private Set<String> planned = Set.of();
     private Set<String> recorded = Set.of();
 
     void announce(String peer) {
-        wanted.add(peer);
+        announced.add(peer);
         retired.remove(peer);
     }
 
     void retire(String peer, long nowMillis) {
-        if (wanted.contains(peer)) {
+        if (announced.contains(peer)) {
             retired.put(peer, nowMillis);
         }
     }
 
     boolean isRecorded(String peer) {
-        return recorded.contains(peer) && wanted.contains(peer);
+        return recorded.contains(peer) && announced.contains(peer);
     }
 
-    List<String> wanted() {
-        return List.copyOf(wanted);
+    List<String> announced() {
+        return List.copyOf(announced);
     }
 
     boolean hasChanges() {
-        return !wanted.equals(recorded);
+        return !announced.equals(recorded);
     }
 
-    /** A sidecar that left before the oldest open lease was taken can hold no receipt that matters. */
+    /** Removes sidecars that left before the oldest open lease was taken; none of their receipts is needed any more. */
     void dropRetired(long oldestLeaseMillis) {
         retired.entrySet().removeIf(entry -> {
             boolean drop = entry.getValue() < oldestLeaseMillis;
             if (drop) {
-                wanted.remove(entry.getKey());
+                announced.remove(entry.getKey());
             }
             return drop;
         });
     }
 
-    /** Remembers what the planned row says. */
-    void freeze() {
-        written = Set.copyOf(wanted);
+    /** Remembers the sidecars named in the planned row. */
+    void rememberPlanned() {
+        planned = Set.copyOf(announced);
     }
 
-    /** The planned row is in the table. */
+    /** Notes that the planned row is in the table. */
     void committed() {
-        recorded = written;
+        recorded = planned;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/ledger/PlannedTransaction.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/PlannedTransaction.java
@@ -6,9 +6,9 @@
 import org.streamring.kernel.table.RowOperation;
 
 /**
- * A plan with what it does to the leases in memory.
+ * Plan with its effects on the leases in memory.
  *
- * @param plan the plan
+ * @param plan plan to apply
  * @param settledLeases leases that it settles
  * @param shrunk leases that it makes smaller
  * @param taken leases that it takes
@@ -22,10 +22,10 @@
         Map<String, String> remainingRows) {
 
     /**
-     * A lease being taken.
+     * Lease that the plan takes.
      *
-     * @param budget budget concerned
-     * @param leaseId its identifier
+     * @param budget budget that the lease is taken from
+     * @param leaseId identifier of the lease
      */
     record Taken(String budget, String leaseId) {}
 
@@ -33,12 +33,12 @@
         return Optional.ofNullable(remainingRows.get(key));
     }
 
-    void thaw() {
+    void unfreeze() {
         settledLeases.forEach(lease -> lease.freeze(false));
         shrunk.forEach(lease -> lease.freeze(false));
     }
 
-    /** Rows to read back if an earlier try of the plan took effect; at most one read. */
+    /** Returns the keys of the rows to read if an earlier attempt of the plan took effect; they fit into one read. */
     List<String> writtenKeys() {
         return plan.transaction().operations().stream()
                 .filter(operation -> !(operation instanceof RowOperation.Delete))
--- a/core/src/main/java/org/streamring/kernel/ledger/Reservation.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/Reservation.java
@@ -1,11 +1,11 @@
 package org.streamring.kernel.ledger;
 
 /**
- * Tokens of a lease set aside for the worst case of one attempt.
+ * Tokens of a lease that are reserved for the worst case of one attempt.
  *
- * @param attempt attempt that they are for
- * @param budget budget
- * @param leaseId lease
- * @param tokens tokens set aside
+ * @param attempt identifier of the attempt
+ * @param budget budget that the lease was taken from
+ * @param leaseId identifier of the lease
+ * @param tokens number of reserved tokens
  */
 public record Reservation(String attempt, String budget, String leaseId, long tokens) {}
--- a/core/src/main/java/org/streamring/kernel/ledger/ReserveResult.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/ReserveResult.java
@@ -2,25 +2,25 @@
 
 import java.time.Duration;
 
-/** What a try to reserve came to. */
+/** Result of an attempt to reserve tokens. */
 public sealed interface ReserveResult {
     /**
-     * The tokens are set aside.
+     * The tokens are reserved.
      *
-     * @param reservation what was set aside
+     * @param reservation the reservation
      */
     record Reserved(Reservation reservation) implements ReserveResult {}
 
-    /** No lease covers it yet; one is taken with the next transaction. */
+    /** No lease has enough free tokens; one is taken with the next transaction. */
     record NeedsLease() implements ReserveResult {}
 
     /**
-     * The budget is known not to cover it.
+     * The budget is known to have too few remaining tokens.
      *
-     * @param retryAfter when the budget is looked at again
+     * @param retryAfter time until the remaining tokens are checked again
      */
     record UsedUp(Duration retryAfter) implements ReserveResult {}
 
-    /** This incarnation's leases are closed; a new incarnation must be used. */
+    /** The leases of this incarnation are closed; a new incarnation must be used. */
     record Fenced() implements ReserveResult {}
 }
--- a/core/src/main/java/org/streamring/kernel/ledger/TransactionDraft.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/TransactionDraft.java
@@ -17,10 +17,10 @@
 import org.streamring.kernel.table.RowText;
 import org.streamring.kernel.table.Transaction;
 
-/** Collects the operations of one ledger transaction. Amounts added to the same row are merged. */
+/** Builder of one ledger transaction. Amounts added to the same row are merged. */
 final class TransactionDraft {
-    /** Room kept for the largest single step: a settled lease with its sums, or a taken one. */
-    private static final int ROOM_FOR_ONE_STEP = 12;
+    /** Operations reserved for the largest single step: settling a lease with its sums, or taking one. */
+    private static final int MAX_STEP_OPERATIONS = 12;
 
     private final String incarnation;
     private final long sequence;
@@ -31,7 +31,7 @@
     private final List<Lease> shrunk = new ArrayList<>();
     private final List<Taken> taken = new ArrayList<>();
     private final List<BillItem> items = new ArrayList<>();
-    private final List<SettledLease> settledIds = new ArrayList<>();
+    private final List<SettledLease> settledSummaries = new ArrayList<>();
 
     TransactionDraft(String incarnation, long sequence) {
         this.incarnation = incarnation;
@@ -43,16 +43,16 @@
     }
 
     boolean hasRoom() {
-        return operations.size() + additions.size() <= Transaction.MAX_OPERATIONS - ROOM_FOR_ONE_STEP;
+        return operations.size() + additions.size() <= Transaction.MAX_OPERATIONS - MAX_STEP_OPERATIONS;
     }
 
-    /** Whether settling this lease, with what of it stays held, fits into the transaction. */
+    /** Returns whether settling this lease, including the rows of its held tokens, fits into the transaction. */
     boolean fits(Lease lease) {
-        int needed = attemptsByPeer(lease).size() + ROOM_FOR_ONE_STEP;
+        int needed = attemptsByPeer(lease).size() + MAX_STEP_OPERATIONS;
         return operations.size() + additions.size() + needed <= Transaction.MAX_OPERATIONS;
     }
 
-    boolean onlyEntryRow() {
+    boolean containsOnlyEntryRow() {
         return operations.size() == 1 && additions.isEmpty();
     }
 
@@ -71,14 +71,14 @@
         operations.add(currentVersion == 0 ? new Insert(key, 0, text) : new Update(key, currentVersion, 0, text));
     }
 
-    /** Settles a lease and returns the tokens that go back. */
+    /** Settles a lease and returns the tokens that are returned to the budget. */
     long settle(String budget, Lease lease) {
         lease.freeze(true);
         operations.add(new Delete(RowKeys.lease(lease.id()), lease.rowVersion()));
         add(RowKeys.settled(budget), lease.spent());
-        attemptsByPeer(lease).forEach((peer, attempts) -> hold(budget, lease, peer, attempts));
+        attemptsByPeer(lease).forEach((peer, attempts) -> addHeldRow(budget, lease, peer, attempts));
         settled.add(lease);
-        settledIds.add(new SettledLease(lease.id(), !lease.uncertain().isEmpty()));
+        settledSummaries.add(new SettledLease(lease.id(), !lease.uncertain().isEmpty()));
         items.addAll(lease.items());
         return lease.free();
     }
@@ -90,22 +90,22 @@
         return byPeer;
     }
 
-    private void hold(String budget, Lease lease, String peer, List<String> attempts) {
+    private void addHeldRow(String budget, Lease lease, String peer, List<String> attempts) {
         long tokens = attempts.stream().mapToLong(lease::reservedFor).sum();
         HeldRecord record = new HeldRecord(budget, lease.id(), attempts, List.of(peer));
         operations.add(new Insert(RowKeys.heldRemainder(lease.id(), peer), tokens, RowText.write(record)));
         add(RowKeys.held(budget), tokens);
     }
 
-    /** Makes a draining lease as small as its open attempts allow and returns the tokens that go back. */
+    /** Reduces a draining lease to its committed tokens and returns the tokens that are returned to the budget. */
     long shrink(Lease lease) {
         lease.freeze(true);
-        long back = lease.free();
+        long returned = lease.free();
         LeaseRecord record = new LeaseRecord(lease.budget());
         operations.add(
                 new Update(RowKeys.lease(lease.id()), lease.rowVersion(), lease.committed(), RowText.write(record)));
         shrunk.add(lease);
-        return back;
+        return returned;
     }
 
     void take(String budget, String leaseId, long tokens) {
@@ -113,7 +113,7 @@
         taken.add(new Taken(budget, leaseId));
     }
 
-    void moveRemaining(String budget, long delta) {
+    void addToRemaining(String budget, long delta) {
         add(RowKeys.remaining(budget), delta);
         remainingRows.put(RowKeys.remaining(budget), budget);
     }
@@ -126,7 +126,7 @@
 
     PlannedTransaction finish() {
         additions.forEach((key, delta) -> operations.add(new Add(key, delta, 0)));
-        LedgerPlan plan = new LedgerPlan(sequence, new Transaction(id(), operations), items, settledIds);
+        LedgerPlan plan = new LedgerPlan(sequence, new Transaction(id(), operations), items, settledSummaries);
         return new PlannedTransaction(plan, settled, shrunk, taken, remainingRows);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/ledger/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Leases on prepaid budgets: tokens are taken from the table before they are spent, so that no partition can
- * overspend.
+ * Leases on prepaid budgets: tokens are leased from the table before they are spent, so that a network partition cannot
+ * cause overspending.
  */
 @NullMarked
 package org.streamring.kernel.ledger;
--- a/core/src/test/java/org/streamring/kernel/ledger/Bank.java
+++ b/core/src/test/java/org/streamring/kernel/ledger/Bank.java
@@ -11,7 +11,7 @@
 import org.streamring.kernel.table.RowText;
 import org.streamring.kernel.table.Transaction;
 
-/** A table with budgets, and the sums that must always agree. */
+/** Table with budgets for tests, and the sums of token amounts that must always be equal. */
 public final class Bank {
     private static final int ALL = 100_000;
 
@@ -68,7 +68,10 @@
                 .sum();
     }
 
-    /** Granted tokens are remaining, leased, settled or held, and none of these is negative. */
+    /**
+     * Asserts that the granted tokens equal the sum of the remaining, leased, settled and held tokens, that the held
+     * rows add up to the held tokens, and that the remaining tokens are not negative.
+     */
     public void assertSumsAgree(String budget) {
         assertThat(remaining(budget) + leased(budget) + settled(budget) + held(budget))
                 .as("sums of budget %s", budget)
--- a/core/src/test/java/org/streamring/kernel/ledger/LeaseLedgerTest.java
+++ b/core/src/test/java/org/streamring/kernel/ledger/LeaseLedgerTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void operatorsSeeWhereCallersReachTheEntryOnceItsPortIsKnown() {
+    public void theEntryRowContainsTheReportedAddress() {
         driver.ledger.reportAddress("127.0.0.1:8080");
         driver.settleDown(DAY);
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void spentTokensAreSettledAndTheRestGoesBack() {
+    public void spentTokensAreSettledAndTheRemainderIsReturned() {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         driver.settleDown(DAY);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void aUsedUpBudgetIsRefusedWithATimeToComeBack() {
+    public void aUsedUpBudgetIsRefusedWithARetryTime() {
         driver.reserve(BUDGET, 20_000, 0);
         ReserveResult result = driver.tryReserve(BUDGET, 20_000, 1);
         assertThat(result).isInstanceOf(ReserveResult.UsedUp.class);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void aTopUpEndsTheRefusals() {
+    public void aTopUpEndsRefusals() {
         driver.reserve(BUDGET, 20_000, 0);
         bank.topUp(BUDGET, 90_000);
         driver.ledger.toppedUp(BUDGET);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void aSmallRequestIsServedThoughALargeOneWasRefused() {
+    public void aSmallRequestIsServedAfterALargeOneWasRefused() {
         driver.reserve(BUDGET, 20_000, 0);
         assertThat(driver.reserve(BUDGET, 100, 1)).isPresent();
     }
@@ -112,11 +112,13 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aLeaseOfUnknownOutcomeIsTakenOnce(List<Fault> faults) {
+    public void aLeaseWhoseWriteHasAnUnknownOutcomeIsTakenOnce(List<Fault> faults) {
         driver.table.next(faults.toArray(Fault[]::new));
         driver.tryReserve(BUDGET, 100, 0);
         faults.forEach(fault -> driver.step(0));
-        assertThat(driver.ledger.openLeases()).as("not spendable while unknown").isZero();
+        assertThat(driver.ledger.openLeases())
+                .as("open leases while the outcome is unknown")
+                .isZero();
         driver.settleDown(0);
         driver.table.deliverLate();
         assertThat(driver.ledger.openLeases()).isEqualTo(1);
@@ -125,7 +127,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aSettlementOfUnknownOutcomeIsMadeOnce(List<Fault> faults) {
+    public void aSettlementWhoseWriteHasAnUnknownOutcomeIsMadeOnce(List<Fault> faults) {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         driver.table.next(faults.toArray(Fault[]::new));
@@ -139,7 +141,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aLeaseBeingGivenBackIsNotSpendable(List<Fault> faults) {
+    public void aLeaseBeingReturnedIsNotSpendable(List<Fault> faults) {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         driver.table.next(faults.toArray(Fault[]::new));
@@ -148,7 +150,7 @@
     }
 
     @Test
-    public void aClosedIncarnationCommitsNothingMore() {
+    public void aClosedIncarnationCommitsNothing() {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         LeaseCloser closer = new LeaseCloser("entry-2~b");
@@ -160,7 +162,7 @@
     }
 
     @Test
-    public void aLateWriteOfAClosedIncarnationChangesNothing() {
+    public void aDelayedWriteOfAClosedIncarnationChangesNothing() {
         driver.table.next(LATE);
         driver.tryReserve(BUDGET, 100, 0);
         driver.step(0);
@@ -173,32 +175,32 @@
 
     @Test(dataProvider = "faults")
     public void anIncarnationWhoseFirstWriteGotNoAnswerIsGivenUp(List<Fault> faults) {
-        LedgerDriver unborn = new LedgerDriver("entry-2~a", bank, LedgerSettings.patient());
-        unborn.tryReserve(BUDGET, 100, 0);
-        unborn.table.next(faults.get(0));
-        unborn.settleDown(0);
-        unborn.table.deliverLate();
-        unborn.settleDown(0);
-        assertThat(unborn.ledger.isFenced()).isTrue();
+        LedgerDriver unconfirmedDriver = new LedgerDriver("entry-2~a", bank, LedgerSettings.patient());
+        unconfirmedDriver.tryReserve(BUDGET, 100, 0);
+        unconfirmedDriver.table.next(faults.get(0));
+        unconfirmedDriver.settleDown(0);
+        unconfirmedDriver.table.deliverLate();
+        unconfirmedDriver.settleDown(0);
+        assertThat(unconfirmedDriver.ledger.isFenced()).isTrue();
         assertThat(bank.rows("lease/entry-2~a/")).isEmpty();
     }
 
     @Test
-    public void theFirstPlanTakesNoLeaseThoughARequestWaits() {
-        LedgerDriver newborn = new LedgerDriver("entry-2~a", bank, LedgerSettings.patient());
-        newborn.tryReserve(BUDGET, 100, 0);
-        newborn.step(0);
+    public void theFirstPlanTakesNoLeaseEvenIfARequestWaits() {
+        LedgerDriver newDriver = new LedgerDriver("entry-2~a", bank, LedgerSettings.patient());
+        newDriver.tryReserve(BUDGET, 100, 0);
+        newDriver.step(0);
         assertThat(bank.rows("lease/entry-2~a/")).isEmpty();
-        newborn.step(0);
+        newDriver.step(0);
         assertThat(bank.rows("lease/entry-2~a/")).hasSize(1);
     }
 
     @Test
-    public void attemptsInDoubtAreHeldAndNotBilled() {
-        Reservation known = driver.reserve(BUDGET, 100, 0).orElseThrow();
-        Reservation doubtful = driver.reserve(BUDGET, 100, 0).orElseThrow();
-        driver.finish(known, 60, 0);
-        driver.ledger.markUncertain(doubtful, "sidecar~1");
+    public void attemptsOfUnknownOutcomeAreHeldAndNotBilled() {
+        Reservation resolved = driver.reserve(BUDGET, 100, 0).orElseThrow();
+        Reservation unresolved = driver.reserve(BUDGET, 100, 0).orElseThrow();
+        driver.finish(resolved, 60, 0);
+        driver.ledger.markUncertain(unresolved, "sidecar~1");
         driver.settleDown(DAY);
         assertThat(bank.settled(BUDGET)).isEqualTo(60);
         assertThat(bank.held(BUDGET)).isEqualTo(100);
@@ -206,18 +208,18 @@
     }
 
     @Test
-    public void anAttemptInDoubtThatIsClearedUpInTimeIsNotHeld() {
-        Reservation doubtful = driver.reserve(BUDGET, 100, 0).orElseThrow();
-        driver.ledger.markUncertain(doubtful, "sidecar~1");
-        assertThat(driver.ledger.uncertainAt("sidecar~1")).containsExactly(doubtful);
-        driver.finish(doubtful, 30, 0);
+    public void anAttemptOfUnknownOutcomeThatIsResolvedInTimeIsNotHeld() {
+        Reservation unresolved = driver.reserve(BUDGET, 100, 0).orElseThrow();
+        driver.ledger.markUncertain(unresolved, "sidecar~1");
+        assertThat(driver.ledger.uncertainAt("sidecar~1")).containsExactly(unresolved);
+        driver.finish(unresolved, 30, 0);
         driver.settleDown(DAY);
         assertThat(bank.held(BUDGET)).isZero();
         assertThat(bank.settled(BUDGET)).isEqualTo(30);
     }
 
     @Test
-    public void aStoppingLedgerTakesNoNewLeaseForItsOldDemand() {
+    public void aStoppingLedgerTakesNoNewLeaseForPastDemand() {
         for (int i = 0; i < 20; i++) {
             driver.finish(driver.reserve(BUDGET, 100, i * 100L).orElseThrow(), 90, i * 100L);
         }
@@ -228,7 +230,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aLeaseThatArrivesWhileStoppingGoesBack(List<Fault> faults) {
+    public void aLeaseTakenWhileStoppingIsReturned(List<Fault> faults) {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         driver.tryReserve(BUDGET, 9_000, 0);
@@ -242,7 +244,7 @@
     }
 
     @Test
-    public void aStoppingLedgerIsNotSettledWhileALeaseMayStillArrive() {
+    public void aStoppingLedgerIsNotSettledWhileALeaseMayStillBeTaken() {
         driver.tryReserve(BUDGET, 100, 0);
         driver.table.next(LOST_ANSWER);
         driver.step(0);
@@ -262,7 +264,7 @@
     }
 
     @Test
-    public void aRestTooSmallForOneRequestGoesBackWhenTheBudgetRunsLow() {
+    public void aRemainderTooSmallForOneRequestIsReturnedWhenTheBudgetRunsLow() {
         LedgerDriver first = new LedgerDriver("entry-1~x", bank, LedgerSettings.patient());
         LedgerDriver second = new LedgerDriver("entry-2~x", bank, LedgerSettings.patient());
         long spent = 0;
@@ -276,12 +278,12 @@
             first.step(i * 100L);
             second.step(i * 100L);
         }
-        assertThat(spent).as("hardly anything is stranded").isGreaterThan(9_900);
+        assertThat(spent).as("tokens spent of 10,000 granted").isGreaterThan(9_900);
         bank.assertSumsAgree(BUDGET);
     }
 
     @Test
-    public void aSidecarIsUsableOnlyOnceTheTableNamesIt() {
+    public void aSidecarIsUsableOnlyAfterTheTableNamesIt() {
         driver.step(0);
         driver.ledger.announcePeer("sidecar~1");
         driver.table.next(LOST_CALL);
@@ -294,7 +296,7 @@
     }
 
     @Test
-    public void aSidecarThatLeftIsNamedWhileALeaseFromBeforeIsOpen() {
+    public void aSidecarThatLeftIsNamedWhileAnEarlierLeaseIsOpen() {
         driver.ledger.announcePeer("sidecar~1");
         Reservation reservation = driver.reserve(BUDGET, 100, 10).orElseThrow();
         driver.ledger.retirePeer("sidecar~1", 20);
@@ -309,7 +311,7 @@
     }
 
     @Test
-    public void onlyAHeartbeatIsWrittenWhileNothingHappens() {
+    public void onlyHeartbeatsAreWrittenWhileIdle() {
         driver.step(0);
         long before = bank.table.transactions();
         for (int second = 1; second <= 60; second++) {
@@ -319,7 +321,7 @@
     }
 
     @Test
-    public void aPlanThatWasNotSentCanBeDropped() {
+    public void aPlanThatWasNotSentCanBeDiscarded() {
         Reservation reservation = driver.reserve(BUDGET, 100, 0).orElseThrow();
         driver.finish(reservation, 60, 0);
         assertThat(driver.ledger.plan(DAY)).isPresent();
--- a/core/src/test/java/org/streamring/kernel/ledger/LedgerDriver.java
+++ b/core/src/test/java/org/streamring/kernel/ledger/LedgerDriver.java
@@ -8,11 +8,11 @@
 import org.streamring.kernel.table.FaultyTable;
 import org.streamring.kernel.table.PlatformException;
 
-/** Runs a ledger against a table, as the entry program does, but one step at a time. */
+/** Runs a ledger against a table like the entry process does, but one step at a time. */
 public final class LedgerDriver {
     public final LeaseLedger ledger;
     public final FaultyTable table;
-    /** Batches written, by sequence; one that is written again replaces itself. */
+    /** Written bill batches by sequence; a batch that is written again replaces the previous one. */
     public final Map<Long, List<BillItem>> batches = new TreeMap<>();
 
     private int attempts;
@@ -22,13 +22,13 @@
         this.ledger = new LeaseLedger(incarnation, "127.0.0.1:0", settings);
     }
 
-    /** Makes and applies one plan; returns what came of it, empty if nothing was planned or no answer came. */
+    /** Creates and applies one plan. Returns its result; empty if nothing was planned or no answer was received. */
     public Optional<LedgerStep> step(long nowMillis) {
         Optional<LedgerPlan> plan = ledger.plan(nowMillis);
         if (plan.isEmpty()) {
             return Optional.empty();
         }
-        // As in the entry program, bills are written before the transaction that settles them.
+        // As in the entry process, bills are written before the transaction that settles them.
         batches.put(plan.get().sequence(), plan.get().billItems());
         try {
             LedgerStep step = ledger.resolve(table.transact(plan.get().transaction()), nowMillis);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Items of the batches after or up to a sequence. */
+    /** Returns the items of the batches whose sequence matches. */
     public List<BillItem> items(LongPredicate sequences) {
         return batches.entrySet().stream()
                 .filter(batch -> sequences.test(batch.getKey()))
@@ -50,7 +50,7 @@
                 .toList();
     }
 
-    /** Steps until nothing is left to do. */
+    /** Runs 20 steps, enough to write everything that is outstanding. */
     public void settleDown(long nowMillis) {
         for (int i = 0; i < 20; i++) {
             step(nowMillis);
@@ -61,7 +61,7 @@
         return ledger.reserve(ledger.incarnation() + "#" + ++attempts, budget, tokens, nowMillis);
     }
 
-    /** Reserves, taking a lease if need be; empty if refused. */
+    /** Reserves tokens, taking a lease if necessary; empty if refused. */
     public Optional<Reservation> reserve(String budget, long tokens, long nowMillis) {
         for (int i = 0; i < 4; i++) {
             if (tryReserve(budget, tokens, nowMillis) instanceof ReserveResult.Reserved reserved) {
