--- a/core/src/main/java/org/streamring/kernel/routing/AttemptResult.java
+++ b/core/src/main/java/org/streamring/kernel/routing/AttemptResult.java
@@ -1,11 +1,14 @@
 package org.streamring.kernel.routing;
 
-/** What an attempt that ended says about its replica. */
+/** Result of an ended attempt, used to decide whether its replica is ejected. */
 public enum AttemptResult {
-    /** It was answered. */
+    /** The attempt was answered. */
     SERVED,
-    /** It broke off, got a server error, or could not be forwarded. */
+    /** The attempt broke off, got a server error, or could not be forwarded. */
     FAILED,
-    /** Nothing: it was cancelled from outside or refused for lack of room. */
+    /**
+     * The attempt was cancelled from outside or refused for lack of capacity; the replica's failure count does not
+     * change.
+     */
     INCONCLUSIVE
 }
--- a/core/src/main/java/org/streamring/kernel/routing/Candidate.java
+++ b/core/src/main/java/org/streamring/kernel/routing/Candidate.java
@@ -4,27 +4,27 @@
 import org.streamring.model.box.BackendServer;
 
 /**
- * A replica that may be given a request.
+ * A replica to which a request may be sent.
  *
  * @param server backend server
  * @param incarnation incarnation of its sidecar
- * @param running attempts in progress, as last reported and corrected for what this entry started since then
- * @param capacity most attempts that it takes
- * @param handicap factor of at least 1 by which it counts as busier: while it comes back after failures, or as it is
- *     slower than others
+ * @param running attempts in progress, as last reported, plus those that this entry has started since then
+ * @param capacity maximum number of concurrent attempts at the replica
+ * @param handicap factor of at least 1 by which the cost of the replica is multiplied; above 1 while it recovers from
+ *     an ejection or if it is slower than other replicas
  */
 public record Candidate(BackendServer server, String incarnation, int running, int capacity, double handicap) {
-    /** Attempts in progress over capacity. */
+    /** Returns the attempts in progress divided by the capacity. */
     public double load() {
         return running / (double) Math.max(1, capacity);
     }
 
-    /** Load with one more attempt, as it counts in a choice. */
+    /** Returns the load with one more attempt, multiplied by the handicap; used to compare candidates. */
     public double cost() {
         return (running + 1) / (double) Math.max(1, capacity) * handicap;
     }
 
-    /** Whether it is believed to take one more attempt of a rank. */
+    /** Returns whether the replica, by its last reported load, accepts one more attempt of the given rank. */
     public boolean hasRoom(int rank) {
         return running < RankLimit.of(capacity, rank);
     }
--- a/core/src/main/java/org/streamring/kernel/routing/Ejection.java
+++ b/core/src/main/java/org/streamring/kernel/routing/Ejection.java
@@ -3,34 +3,35 @@
 import java.time.Duration;
 
 /**
- * Whether one replica is kept out because it failed, and how it comes back: after a time that doubles, one attempt at a
- * time until one is served, and then with a share that grows slowly. Guarded by {@link ReplicaTable}.
+ * Ejection of one replica after repeated failures. The replica is ejected for a period that doubles with each further
+ * failure. It then gets one trial attempt at a time until one is served, and afterwards its share of the requests grows
+ * gradually. Guarded by the lock of {@link ReplicaTable}.
  */
 final class Ejection {
     private static final int FAILURES_TO_EJECT = 3;
-    private static final long FIRST_MILLIS = Duration.ofSeconds(2).toMillis();
-    private static final long LONGEST_MILLIS = Duration.ofSeconds(60).toMillis();
-    private static final double RETURN_MILLIS = Duration.ofSeconds(10).toMillis();
-    /** How much costlier a replica counts at the moment of its return. */
-    private static final double FIRST_RETURN_FACTOR = 4;
+    private static final long FIRST_EJECTION_MILLIS = Duration.ofSeconds(2).toMillis();
+    private static final long LONGEST_EJECTION_MILLIS = Duration.ofSeconds(60).toMillis();
+    private static final double RAMP_UP_MILLIS = Duration.ofSeconds(10).toMillis();
+    /** Factor applied to the cost of a replica at the moment it is readmitted. */
+    private static final double INITIAL_COST_FACTOR = 4;
 
-    private int failuresInRow;
-    private long untilMillis;
-    private long lengthMillis;
-    private long returnedMillis;
-    private boolean returning;
-    private boolean trial;
+    private int consecutiveFailures;
+    private long ejectedUntilMillis;
+    private long ejectionMillis;
+    private long readmittedMillis;
+    private boolean rampingUp;
+    private boolean trialRunning;
 
-    private boolean recovering() {
-        return failuresInRow >= FAILURES_TO_EJECT;
+    private boolean failureLimitReached() {
+        return consecutiveFailures >= FAILURES_TO_EJECT;
     }
 
     void started() {
-        trial = recovering();
+        trialRunning = failureLimitReached();
     }
 
     void ended(AttemptResult result, long nowMillis) {
-        trial = false;
+        trialRunning = false;
         if (result == AttemptResult.FAILED) {
             failed(nowMillis);
         } else if (result == AttemptResult.SERVED) {
@@ -39,30 +40,32 @@
     }
 
     private void failed(long nowMillis) {
-        failuresInRow++;
-        if (recovering()) {
-            lengthMillis = Math.min(LONGEST_MILLIS, Math.max(FIRST_MILLIS, 2 * lengthMillis));
-            untilMillis = nowMillis + lengthMillis;
+        consecutiveFailures++;
+        if (failureLimitReached()) {
+            ejectionMillis = Math.min(LONGEST_EJECTION_MILLIS, Math.max(FIRST_EJECTION_MILLIS, 2 * ejectionMillis));
+            ejectedUntilMillis = nowMillis + ejectionMillis;
         }
     }
 
     private void served(long nowMillis) {
-        if (recovering()) {
-            returning = true;
-            returnedMillis = nowMillis;
+        if (failureLimitReached()) {
+            rampingUp = true;
+            readmittedMillis = nowMillis;
         }
-        failuresInRow = 0;
-        lengthMillis = 0;
+        consecutiveFailures = 0;
+        ejectionMillis = 0;
     }
 
-    /** Whether no attempt may start now. */
+    /** Returns whether no attempt may be started now. */
     boolean ejected(long nowMillis) {
-        return recovering() && (nowMillis < untilMillis || trial);
+        return failureLimitReached() && (nowMillis < ejectedUntilMillis || trialRunning);
     }
 
-    /** By how much its cost is raised after its return; 1 if it is not on its way back. */
-    double returnFactor(long nowMillis) {
-        double left = 1 - (nowMillis - returnedMillis) / RETURN_MILLIS;
-        return returning && left > 0 ? 1 + (FIRST_RETURN_FACTOR - 1) * left : 1;
+    /**
+     * Returns the factor by which the cost of the replica is raised after it was readmitted; 1 if it is not recovering.
+     */
+    double rampUpFactor(long nowMillis) {
+        double remainingRampUp = 1 - (nowMillis - readmittedMillis) / RAMP_UP_MILLIS;
+        return rampingUp && remainingRampUp > 0 ? 1 + (INITIAL_COST_FACTOR - 1) * remainingRampUp : 1;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/routing/LoadReport.java
+++ b/core/src/main/java/org/streamring/kernel/routing/LoadReport.java
@@ -1,13 +1,13 @@
 package org.streamring.kernel.routing;
 
 /**
- * A sidecar's report on its backend server.
+ * Load of a backend server as reported by its sidecar.
  *
  * @param running attempts in progress
- * @param capacity most attempts that it takes
- * @param leaving whether it takes no new work
+ * @param capacity maximum number of concurrent attempts at the backend server
+ * @param leaving whether the backend server is shutting down and accepts no new attempts
  */
 public record LoadReport(int running, int capacity, boolean leaving) {
-    /** Before the first report. */
+    /** Value used before the first report arrives. */
     public static final LoadReport NONE = new LoadReport(0, 1, false);
 }
--- a/core/src/main/java/org/streamring/kernel/routing/PrefixIndex.java
+++ b/core/src/main/java/org/streamring/kernel/routing/PrefixIndex.java
@@ -7,42 +7,50 @@
 import java.util.Map;
 
 /**
- * Remembers to which replicas prompts with the same beginning went last, because those have the beginning in their
- * cache most likely. Only a hint: replicas drop what is old without saying so. Cf. routing by overlap of cached blocks,
- * "Multimodal KV Routing", NVIDIA Dynamo documentation.
+ * Records the replicas that prompts with the same prefix were last sent to, because these are most likely to have the
+ * prefix cached. The index is only a hint: replicas evict old cache entries without notice. Compare routing by overlap
+ * of cached blocks, "Multimodal KV Routing", NVIDIA Dynamo documentation.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Thread-safe. Its lock is a leaf lock: no other lock is acquired while it is held.
  */
 public final class PrefixIndex {
-    private static final int MAX_MARKS = 16_384;
-    private static final int MAX_HOLDERS = 3;
+    private static final int MAX_PREFIX_HASHES = 16_384;
+    private static final int MAX_REPLICAS_PER_PREFIX = 3;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final Map<PromptPrefix.Mark, List<String>> holders = new LinkedHashMap<>(MAX_MARKS, LOAD_FACTOR, true) {
-        private static final long serialVersionUID = 1L;
+    private final Map<PromptPrefix.PrefixHash, List<String>> replicasByPrefix =
+            new LinkedHashMap<>(MAX_PREFIX_HASHES, LOAD_FACTOR, true) {
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<PromptPrefix.Mark, List<String>> eldest) {
-            return size() > MAX_MARKS;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<PromptPrefix.PrefixHash, List<String>> eldest) {
+                    return size() > MAX_PREFIX_HASHES;
+                }
+            };
 
-    /** Notes that a prompt goes to a replica. */
+    /** Records that a prompt is sent to a replica. */
     public synchronized void placed(PromptPrefix prefix, String server) {
-        for (PromptPrefix.Mark mark : prefix.marks()) {
-            List<String> newestFirst = new ArrayList<>(holders.getOrDefault(mark, List.of()));
+        for (PromptPrefix.PrefixHash prefixHash : prefix.prefixHashes()) {
+            List<String> newestFirst = new ArrayList<>(replicasByPrefix.getOrDefault(prefixHash, List.of()));
             newestFirst.remove(server);
             newestFirst.add(0, server);
-            holders.put(mark, List.copyOf(newestFirst.subList(0, Math.min(MAX_HOLDERS, newestFirst.size()))));
+            replicasByPrefix.put(
+                    prefixHash,
+                    List.copyOf(newestFirst.subList(0, Math.min(MAX_REPLICAS_PER_PREFIX, newestFirst.size()))));
         }
     }
 
-    /** For each replica that got a prompt of the same beginning, the share of the prompt that it may have cached. */
+    /**
+     * Returns, for each replica that received a prompt with the same prefix, the share of the prompt that it may have
+     * cached.
+     */
     public synchronized Map<String, Double> shares(PromptPrefix prefix) {
         Map<String, Double> shares = new HashMap<>();
-        for (PromptPrefix.Mark mark : prefix.marks()) {
-            double share = mark.bytes() / (double) prefix.bytes();
-            holders.getOrDefault(mark, List.of()).forEach(server -> shares.merge(server, share, Math::max));
+        for (PromptPrefix.PrefixHash prefixHash : prefix.prefixHashes()) {
+            double share = prefixHash.bytes() / (double) prefix.bytes();
+            replicasByPrefix
+                    .getOrDefault(prefixHash, List.of())
+                    .forEach(server -> shares.merge(server, share, Math::max));
         }
         return shares;
     }
--- a/core/src/main/java/org/streamring/kernel/routing/PromptPrefix.java
+++ b/core/src/main/java/org/streamring/kernel/routing/PromptPrefix.java
@@ -7,42 +7,42 @@
 import java.util.zip.CRC32C;
 
 /**
- * How a prompt begins, as hashes of its beginnings at fixed lengths. Two prompts that share a hash begin alike up to
- * that length; the rare collision only sends a request to a replica that has nothing cached for it.
+ * Hashes of the prefixes of a prompt at fixed lengths. Two prompts that share a hash have the same prefix up to that
+ * length. The rare hash collision only sends a request to a replica that has nothing cached for it.
  *
- * @param marks beginnings, shortest first
- * @param bytes length of the whole prompt
+ * @param prefixHashes hashes of the prefixes, shortest prefix first
+ * @param bytes length of the whole prompt in bytes
  */
-public record PromptPrefix(List<Mark> marks, int bytes) {
-    /** No prompt, or one too short to matter. */
+public record PromptPrefix(List<PrefixHash> prefixHashes, int bytes) {
+    /** Value for a request without a prompt. */
     public static final PromptPrefix NONE = new PromptPrefix(List.of(), 0);
 
     private static final int BLOCK_BYTES = 512;
     private static final List<Integer> LENGTHS_IN_BLOCKS = List.of(1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64);
 
     /**
-     * One beginning.
+     * Hash of one prefix.
      *
-     * @param bytes its length
-     * @param hash its hash
+     * @param bytes length of the prefix in bytes
+     * @param hash CRC-32C of the prefix
      */
-    public record Mark(int bytes, long hash) {}
+    public record PrefixHash(int bytes, long hash) {}
 
-    /** Marks the beginnings of a prompt. */
+    /** Computes the prefix hashes of a prompt. */
     public static PromptPrefix of(String prompt) {
         byte[] text = prompt.getBytes(UTF_8);
-        List<Mark> marks = new ArrayList<>();
+        List<PrefixHash> prefixHashes = new ArrayList<>();
         CRC32C crc = new CRC32C();
-        int hashed = 0;
+        int hashedBytes = 0;
         for (int blocks : LENGTHS_IN_BLOCKS) {
             int length = blocks * BLOCK_BYTES;
             if (length > text.length) {
                 break;
             }
-            crc.update(text, hashed, length - hashed);
-            hashed = length;
-            marks.add(new Mark(length, crc.getValue()));
+            crc.update(text, hashedBytes, length - hashedBytes);
+            hashedBytes = length;
+            prefixHashes.add(new PrefixHash(length, crc.getValue()));
         }
-        return new PromptPrefix(List.copyOf(marks), text.length);
+        return new PromptPrefix(List.copyOf(prefixHashes), text.length);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/routing/RendezvousHash.java
+++ b/core/src/main/java/org/streamring/kernel/routing/RendezvousHash.java
@@ -6,22 +6,27 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** Highest random weight hashing: processes with the same view order nodes alike, without talking to each other. */
+/**
+ * Highest random weight (rendezvous) hashing. Processes with the same set of nodes order them identically without
+ * communicating.
+ */
 public final class RendezvousHash {
     private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
     private static final int SHIFT = 29;
 
     private RendezvousHash() {}
 
-    /** A node's weight for a key, which takes longer to compute than to compare. */
-    private record Weighed(String node, long weight) {}
+    /** Weight of a node for a key, computed once because computing it costs more than comparing it. */
+    private record WeightedNode(String node, long weight) {}
 
-    /** Orders nodes for a key, the first being its owner. */
+    /** Returns the nodes ordered by weight for a key; the first one is the owner of the key. */
     public static List<String> order(String key, Collection<String> nodes) {
         return nodes.stream()
-                .map(node -> new Weighed(node, weight(key, node)))
-                .sorted(Comparator.comparingLong(Weighed::weight).reversed().thenComparing(Weighed::node))
-                .map(Weighed::node)
+                .map(node -> new WeightedNode(node, weight(key, node)))
+                .sorted(Comparator.comparingLong(WeightedNode::weight)
+                        .reversed()
+                        .thenComparing(WeightedNode::node))
+                .map(WeightedNode::node)
                 .toList();
     }
 
--- a/core/src/main/java/org/streamring/kernel/routing/Replica.java
+++ b/core/src/main/java/org/streamring/kernel/routing/Replica.java
@@ -2,7 +2,7 @@
 
 import org.streamring.model.box.BackendServer;
 
-/** What an entry knows of one replica. Guarded by {@link ReplicaTable}. */
+/** State of one replica as recorded by an entry. Guarded by the lock of {@link ReplicaTable}. */
 final class Replica {
     private BackendServer server;
     private String incarnation = "";
@@ -10,7 +10,7 @@
     private int ownRunning;
     private int ownRunningAtReport;
     private final Ejection ejection = new Ejection();
-    private final Pace pace = new Pace();
+    private final AverageServiceTime serviceTime = new AverageServiceTime();
 
     Replica(BackendServer server) {
         this.server = server;
@@ -20,7 +20,7 @@
         return server;
     }
 
-    void relist(BackendServer newServer) {
+    void updateServer(BackendServer newServer) {
         server = newServer;
     }
 
@@ -53,7 +53,7 @@
         ejection.ended(result, nowMillis);
     }
 
-    /** Whether it is there for new work at all. */
+    /** Returns whether the sidecar is connected and the replica is not shutting down. */
     boolean available() {
         return !server.leaving() && !report.leaving() && !incarnation.isEmpty();
     }
@@ -62,22 +62,26 @@
         return ejection.ejected(nowMillis);
     }
 
-    /** The report lags; what this entry itself started since then is added. */
+    /**
+     * Returns the reported attempts in progress plus those that this entry has started since the report, which lags
+     * behind.
+     */
     private int running() {
         return report.running() + Math.max(0, ownRunning - ownRunningAtReport);
     }
 
-    Pace pace() {
-        return pace;
+    AverageServiceTime serviceTime() {
+        return serviceTime;
     }
 
     /**
-     * Itself as a candidate.
+     * Returns this replica as a candidate.
      *
-     * @param typicalPace time per unit of work of a typical replica of the service, in milliseconds; 0 if not known
+     * @param typicalMillisPerUnit time per unit of work of a typical replica of the service; 0 if unknown
      */
-    Candidate candidate(double typicalPace, long nowMillis) {
-        double handicap = ejection.returnFactor(nowMillis) * pace.slowness(typicalPace, nowMillis);
+    Candidate candidate(double typicalMillisPerUnit, long nowMillis) {
+        double handicap =
+                ejection.rampUpFactor(nowMillis) * serviceTime.slownessFactor(typicalMillisPerUnit, nowMillis);
         return new Candidate(server, incarnation, running(), report.capacity(), handicap);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/routing/ReplicaSelector.java
+++ b/core/src/main/java/org/streamring/kernel/routing/ReplicaSelector.java
@@ -14,23 +14,24 @@
 import java.util.stream.Collectors;
 
 /**
- * Chooses a replica: the best of a few drawn at random, so that late reports do not send everything to the same one. A
- * replica that may have the beginning of the prompt cached is considered as well, and may be somewhat busier. A request
- * with an identifier of its caller's goes to the replicas that all entries would try first for it.
+ * Chooses the replica for a request: the best of a few picked at random, so that outdated load reports do not send all
+ * requests to the same replica. Replicas that may have the prefix of the prompt cached are considered as well and are
+ * preferred even if they are somewhat busier. A request with an identifier from its caller goes to the replica that
+ * every entry tries first for this identifier.
  */
 public final class ReplicaSelector {
-    private static final int SAMPLE = 3;
-    private static final int SAMPLE_OF_BASELINE = 2;
-    /** How much busier a replica may be, as a part of its capacity, if it has a whole prompt cached. */
-    private static final double WORTH_OF_CACHED_PROMPT = 0.3;
+    private static final int ADAPTIVE_SAMPLE_SIZE = 3;
+    private static final int BASELINE_SAMPLE_SIZE = 2;
+    /** Cost deducted for a replica that has the whole prompt cached, as a fraction of its capacity. */
+    private static final double CACHED_PROMPT_BONUS = 0.3;
 
     private final RoutingStrategy strategy;
     private final RandomGenerator random;
     private final PrefixIndex prefixes = new PrefixIndex();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextIndex = new AtomicInteger();
 
     /**
-     * Creates one.
+     * Creates a selector.
      *
      * @param random source of randomness
      */
@@ -40,71 +41,78 @@
     }
 
     /**
-     * Chooses.
+     * Chooses a replica.
      *
-     * @param candidates replicas that take work
-     * @param query what is looked for
-     * @param score cost of a candidate by the policy; baselines do without it
+     * @param candidates replicas that accept new attempts
+     * @param query properties of the request
+     * @param score cost of a candidate according to the policy; the baseline strategies ignore it
      */
     public Optional<Candidate> choose(List<Candidate> candidates, RouteQuery query, ToDoubleFunction<Candidate> score) {
-        List<Candidate> pool = pool(candidates, query);
-        if (pool.isEmpty()) {
+        List<Candidate> eligible = eligible(candidates, query);
+        if (eligible.isEmpty()) {
             return Optional.empty();
         }
         if (!query.key().isEmpty()) {
-            return owner(pool, query.key());
+            return owner(eligible, query.key());
         }
         return switch (strategy) {
-            case ADAPTIVE -> adaptive(withRoom(pool, query.rank()), query.prefix(), score);
-            case LEAST_OF_TWO -> best(sample(pool, SAMPLE_OF_BASELINE), Candidate::load);
-            case ROUND_ROBIN -> Optional.of(next(pool));
+            case ADAPTIVE -> adaptive(preferWithCapacity(eligible, query.rank()), query.prefix(), score);
+            case LEAST_OF_TWO -> best(sample(eligible, BASELINE_SAMPLE_SIZE), Candidate::load);
+            case ROUND_ROBIN -> Optional.of(nextInRotation(eligible));
         };
     }
 
-    /** Whether a replica that was not tried is believed to have room for one more of the request's rank. */
+    /**
+     * Returns whether a replica that was not tried yet has, by its last reported load, capacity for one more attempt of
+     * the request's rank.
+     */
     public static boolean hasRoomElsewhere(List<Candidate> candidates, RouteQuery query) {
-        return pool(candidates, query).stream().anyMatch(candidate -> candidate.hasRoom(query.rank()));
+        return eligible(candidates, query).stream().anyMatch(candidate -> candidate.hasRoom(query.rank()));
     }
 
-    private static List<Candidate> pool(List<Candidate> candidates, RouteQuery query) {
-        List<Candidate> left = candidates.stream()
+    private static List<Candidate> eligible(List<Candidate> candidates, RouteQuery query) {
+        List<Candidate> untried = candidates.stream()
                 .filter(candidate -> !query.tried().contains(candidate.server().name()))
                 .toList();
-        List<Candidate> elsewhere = left.stream()
+        List<Candidate> inOtherDomains = untried.stream()
                 .filter(candidate ->
                         !query.triedDomains().contains(candidate.server().failureDomain()))
                 .toList();
-        return elsewhere.isEmpty() ? left : elsewhere;
+        return inOtherDomains.isEmpty() ? untried : inOtherDomains;
     }
 
-    /** The best of a few drawn at random and of those that may have the prompt's beginning cached. */
-    private Optional<Candidate> adaptive(List<Candidate> pool, PromptPrefix prefix, ToDoubleFunction<Candidate> score) {
+    /** Chooses the best of a few replicas picked at random and of those that may have a prefix of the prompt cached. */
+    private Optional<Candidate> adaptive(
+            List<Candidate> eligible, PromptPrefix prefix, ToDoubleFunction<Candidate> score) {
         Map<String, Double> cached = prefixes.shares(prefix);
-        Set<Candidate> considered = new LinkedHashSet<>(sample(pool, SAMPLE));
-        pool.stream()
+        Set<Candidate> considered = new LinkedHashSet<>(sample(eligible, ADAPTIVE_SAMPLE_SIZE));
+        eligible.stream()
                 .filter(candidate -> cached.containsKey(candidate.server().name()))
                 .forEach(considered::add);
         Optional<Candidate> chosen = best(
                 considered,
                 candidate -> score.applyAsDouble(candidate)
-                        - WORTH_OF_CACHED_PROMPT
+                        - CACHED_PROMPT_BONUS
                                 * cached.getOrDefault(candidate.server().name(), 0.0));
         chosen.ifPresent(candidate -> prefixes.placed(prefix, candidate.server().name()));
         return chosen;
     }
 
-    /** If none is believed to have room, any may be asked: reports lag, and its sidecar decides. */
-    private static List<Candidate> withRoom(List<Candidate> pool, int rank) {
-        List<Candidate> free =
-                pool.stream().filter(candidate -> candidate.hasRoom(rank)).toList();
-        return free.isEmpty() ? pool : free;
+    /**
+     * Returns the candidates with capacity for the rank, or all if none has: load reports lag behind, and the sidecar
+     * decides.
+     */
+    private static List<Candidate> preferWithCapacity(List<Candidate> eligible, int rank) {
+        List<Candidate> withCapacity =
+                eligible.stream().filter(candidate -> candidate.hasRoom(rank)).toList();
+        return withCapacity.isEmpty() ? eligible : withCapacity;
     }
 
-    private List<Candidate> sample(List<Candidate> pool, int size) {
-        List<Candidate> rest = new ArrayList<>(pool);
+    private List<Candidate> sample(List<Candidate> eligible, int size) {
+        List<Candidate> remaining = new ArrayList<>(eligible);
         List<Candidate> sample = new ArrayList<>();
-        while (sample.size() < size && !rest.isEmpty()) {
-            sample.add(rest.remove(random.nextInt(rest.size())));
+        while (sample.size() < size && !remaining.isEmpty()) {
+            sample.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return sample;
     }
@@ -113,18 +121,18 @@
         return sample.stream().min(Comparator.comparingDouble(score));
     }
 
-    private Candidate next(List<Candidate> pool) {
-        List<Candidate> byName = pool.stream()
+    private Candidate nextInRotation(List<Candidate> eligible) {
+        List<Candidate> byName = eligible.stream()
                 .sorted(Comparator.comparing(candidate -> candidate.server().name()))
                 .toList();
-        return byName.get(Math.floorMod(turn.getAndIncrement(), byName.size()));
+        return byName.get(Math.floorMod(nextIndex.getAndIncrement(), byName.size()));
     }
 
-    private static Optional<Candidate> owner(List<Candidate> pool, String key) {
+    private static Optional<Candidate> owner(List<Candidate> eligible, String key) {
         Set<String> names =
-                pool.stream().map(candidate -> candidate.server().name()).collect(Collectors.toSet());
+                eligible.stream().map(candidate -> candidate.server().name()).collect(Collectors.toSet());
         String first = RendezvousHash.order(key, names).get(0);
-        return pool.stream()
+        return eligible.stream()
                 .filter(candidate -> candidate.server().name().equals(first))
                 .findFirst();
     }
--- a/core/src/main/java/org/streamring/kernel/routing/ReplicaTable.java
+++ b/core/src/main/java/org/streamring/kernel/routing/ReplicaTable.java
@@ -11,74 +11,75 @@
 import org.streamring.model.box.BackendServer;
 
 /**
- * The replicas in an entry's subset.
+ * Table of the replicas in an entry's subset.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Thread-safe. Its lock is a leaf lock: no other lock is acquired while it is held.
  */
 public final class ReplicaTable {
-    private static final int FEWEST_TO_COMPARE = 3;
+    private static final int MIN_REPLICAS_TO_COMPARE = 3;
 
     private final Map<String, Replica> replicas = new HashMap<>();
     private Set<String> stoppedByOperator = Set.of();
 
-    /** Replaces the subset; what is known of replicas that stay is kept. */
+    /** Replaces the subset. The recorded state of replicas that remain in it is kept. */
     public synchronized void relist(Collection<BackendServer> subset) {
         Map<String, BackendServer> byName =
                 subset.stream().collect(Collectors.toMap(BackendServer::name, server -> server, (a, b) -> b));
         replicas.keySet().retainAll(byName.keySet());
         byName.forEach((name, server) -> {
             Replica replica = replicas.computeIfAbsent(name, key -> new Replica(server));
-            replica.relist(server);
+            replica.updateServer(server);
         });
     }
 
-    /** Sets the backend servers that an operator has ordered to take no new work. */
+    /** Sets the backend servers that accept no new attempts by order of an operator. */
     public synchronized void setStoppedByOperator(Set<String> names) {
         stoppedByOperator = Set.copyOf(names);
     }
 
-    /** A sidecar has connected and named its incarnation. */
+    /** Records that a sidecar has connected with the given incarnation. */
     public synchronized void connected(String name, String incarnation) {
         find(name).ifPresent(replica -> replica.connected(incarnation));
     }
 
-    /** A sidecar's connection is gone. */
+    /** Records that the connection to a sidecar is closed. */
     public synchronized void disconnected(String name) {
         find(name).ifPresent(Replica::disconnected);
     }
 
-    /** A sidecar has reported its load. */
+    /** Records the load that a sidecar has reported. */
     public synchronized void reported(String name, LoadReport report) {
         find(name).ifPresent(replica -> replica.report(report));
     }
 
-    /** A request was sent. */
+    /** Records that an attempt was sent to a replica. */
     public synchronized void started(String name) {
         find(name).ifPresent(Replica::started);
     }
 
-    /** An attempt has ended. */
+    /** Records that an attempt at a replica has ended. */
     public synchronized void ended(String name, AttemptResult result, long nowMillis) {
         find(name).ifPresent(replica -> replica.ended(result, nowMillis));
     }
 
-    /** A unit of work, a token or a plain call, has taken so long. */
+    /** Records the time that a replica took for a unit of work: a token of a stream, or a call of a plain service. */
     public synchronized void paced(String name, double millisPerUnit, long nowMillis) {
-        find(name).ifPresent(replica -> replica.pace().add(millisPerUnit, nowMillis));
+        find(name).ifPresent(replica -> replica.serviceTime().add(millisPerUnit, nowMillis));
     }
 
     private Optional<Replica> find(String name) {
         return Optional.ofNullable(replicas.get(name));
     }
 
-    /** Incarnation of a connected sidecar. */
+    /** Returns the incarnation of a connected sidecar; empty if it is not connected. */
     public synchronized Optional<String> incarnationOf(String name) {
         return find(name).map(Replica::incarnation).filter(incarnation -> !incarnation.isEmpty());
     }
 
     /**
-     * Replicas of a service that take work now. Those that failed are left out, unless that would leave out more than
-     * half: then the failures say more about the requests or the network than about single replicas.
+     * Returns the replicas of a service that accept new attempts now. Ejected replicas are left out, unless that would
+     * leave out more than half: in that case the cause is more likely to be the requests or the network than single
+     * replicas.
      */
     public synchronized List<Candidate> candidates(String service, Predicate<String> mayUse, long nowMillis) {
         List<Replica> available = replicas.values().stream()
@@ -90,31 +91,36 @@
         List<Replica> sound = available.stream()
                 .filter(replica -> !replica.ejected(nowMillis))
                 .toList();
-        List<Replica> taking = 2 * sound.size() < available.size() ? available : sound;
-        double typicalPace = typicalPace(taking);
-        return taking.stream()
-                .map(replica -> replica.candidate(typicalPace, nowMillis))
+        List<Replica> selected = 2 * sound.size() < available.size() ? available : sound;
+        double typicalMillisPerUnit = typicalMillisPerUnit(selected);
+        return selected.stream()
+                .map(replica -> replica.candidate(typicalMillisPerUnit, nowMillis))
                 .toList();
     }
 
-    /** The median, so that a few slow ones do not shift it; 0 if too few are known to compare with. */
-    private static double typicalPace(List<Replica> compared) {
-        double[] known = compared.stream()
-                .map(Replica::pace)
-                .filter(Pace::known)
-                .mapToDouble(Pace::millisPerUnit)
+    /**
+     * Returns the median time per unit of work, which a few slow replicas do not shift; 0 if fewer than
+     * {@value #MIN_REPLICAS_TO_COMPARE} replicas have enough samples.
+     */
+    private static double typicalMillisPerUnit(List<Replica> compared) {
+        double[] sortedMillisPerUnit = compared.stream()
+                .map(Replica::serviceTime)
+                .filter(AverageServiceTime::hasEnoughSamples)
+                .mapToDouble(AverageServiceTime::millisPerUnit)
                 .sorted()
                 .toArray();
-        return known.length < FEWEST_TO_COMPARE ? 0 : known[(known.length - 1) / 2];
+        return sortedMillisPerUnit.length < MIN_REPLICAS_TO_COMPARE
+                ? 0
+                : sortedMillisPerUnit[(sortedMillisPerUnit.length - 1) / 2];
     }
 
-    /** Whether any replica of a service is listed, taking work or not. */
+    /** Returns whether any replica of a service is in the subset, even if it accepts no new attempts. */
     public synchronized boolean serves(String service) {
         return replicas.values().stream()
                 .anyMatch(replica -> replica.server().service().equals(service));
     }
 
-    /** All replicas in the subset. */
+    /** Returns all replicas in the subset. */
     public synchronized List<BackendServer> listed() {
         return replicas.values().stream().map(Replica::server).toList();
     }
--- a/core/src/main/java/org/streamring/kernel/routing/RouteQuery.java
+++ b/core/src/main/java/org/streamring/kernel/routing/RouteQuery.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * For which request a replica is looked for.
+ * Properties of the request that a replica is chosen for.
  *
- * @param tried names of replicas that were tried for it
- * @param triedDomains their failure domains, which are avoided if another one is left
- * @param key identifier from the caller; empty if there is none
- * @param rank its priority rank; 0 is the most urgent
- * @param prefix how its prompt begins
+ * @param tried names of the replicas that were already tried for the request
+ * @param triedDomains failure domains of these replicas; another failure domain is preferred if one is available
+ * @param key identifier of the request given by the caller; empty if there is none
+ * @param rank priority rank of the request; 0 is the most urgent
+ * @param prefix prefix hashes of the prompt
  */
 public record RouteQuery(Set<String> tried, Set<String> triedDomains, String key, int rank, PromptPrefix prefix) {
-    /** A first try of the most urgent rank without an identifier or prompt. */
+    /** First attempt of a request of the most urgent rank without an identifier or a prompt. */
     public static final RouteQuery FIRST_TRY = new RouteQuery(Set.of(), Set.of(), "", 0, PromptPrefix.NONE);
 }
--- a/core/src/main/java/org/streamring/kernel/routing/RoutingStrategy.java
+++ b/core/src/main/java/org/streamring/kernel/routing/RoutingStrategy.java
@@ -1,12 +1,15 @@
 package org.streamring.kernel.routing;
 
-/** How a replica is chosen among those that take work. All but {@link #ADAPTIVE} are baselines for measurements. */
+/**
+ * Strategy for choosing among the replicas that accept new attempts. All except {@link #ADAPTIVE} are baselines for
+ * measurements.
+ */
 public enum RoutingStrategy {
-    /** The lowest score of a few drawn at random; the strategy that is meant for use. */
+    /** Chooses the lowest score among a few replicas picked at random; the strategy for production use. */
     ADAPTIVE("adaptive"),
-    /** The one with less reported load of two drawn at random. */
+    /** Chooses the replica with the lower reported load of two picked at random. */
     LEAST_OF_TWO("least-of-two"),
-    /** One after the other, by name. */
+    /** Chooses the replicas in turn, ordered by name. */
     ROUND_ROBIN("round-robin");
 
     private final String text;
@@ -15,18 +18,18 @@
         this.text = text;
     }
 
-    /** Name in settings and reports. */
+    /** Returns the name used in settings and reports. */
     public String text() {
         return text;
     }
 
-    /** The strategy of this name. */
+    /** Returns the strategy with the given name. */
     public static RoutingStrategy named(String text) {
         for (RoutingStrategy strategy : values()) {
             if (strategy.text.equals(text)) {
                 return strategy;
             }
         }
-        throw new IllegalArgumentException("no routing strategy is named " + text);
+        throw new IllegalArgumentException("unknown routing strategy: " + text);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/routing/SubsetSelector.java
+++ b/core/src/main/java/org/streamring/kernel/routing/SubsetSelector.java
@@ -13,33 +13,34 @@
 
 /**
  * Chooses the backend servers that one entry keeps connections to, so that heartbeats stay within the control traffic
- * allowed to a node. Failure domains take turns, and the choice moves little when a box comes or goes.
+ * allowed per node. Servers are taken from the failure domains in rotation. The subset changes little when a box is
+ * added or removed.
  */
 public final class SubsetSelector {
     private final String entryName;
     private final int perService;
 
     /**
-     * Creates one.
+     * Creates a selector.
      *
-     * @param entryName name of the entry's box, by which subsets of entries differ
-     * @param perService most backend servers per service
+     * @param entryName name of the entry's box; different names give different subsets
+     * @param perService maximum number of backend servers per service
      */
     public SubsetSelector(String entryName, int perService) {
         this.entryName = entryName;
         this.perService = perService;
     }
 
-    /** Chooses among all listed backend servers. */
+    /** Chooses the subset from all listed backend servers. */
     public Set<BackendServer> choose(Collection<BackendServer> listed) {
         Map<String, List<BackendServer>> byService = listed.stream()
                 .collect(Collectors.groupingBy(BackendServer::service, TreeMap::new, Collectors.toList()));
         Set<BackendServer> chosen = new HashSet<>();
-        byService.values().forEach(servers -> chosen.addAll(chooseOfOneService(servers)));
+        byService.values().forEach(servers -> chosen.addAll(chooseForService(servers)));
         return chosen;
     }
 
-    private List<BackendServer> chooseOfOneService(List<BackendServer> servers) {
+    private List<BackendServer> chooseForService(List<BackendServer> servers) {
         if (servers.size() <= perService) {
             return servers;
         }
--- a/core/src/main/java/org/streamring/kernel/routing/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/routing/package-info.java
@@ -1,4 +1,6 @@
-/** Which backend servers an entry knows, how they fare, and which one gets a request. */
+/**
+ * Routing: the subset of backend servers of an entry, their load and failures, and the choice of one for each request.
+ */
 @NullMarked
 package org.streamring.kernel.routing;
 
--- a/core/src/test/java/org/streamring/kernel/routing/PromptPrefixTest.java
+++ b/core/src/test/java/org/streamring/kernel/routing/PromptPrefixTest.java
@@ -6,8 +6,8 @@
 
 public class PromptPrefixTest {
     @Test
-    public void shortPromptsHaveNoMarks() {
-        assertThat(PromptPrefix.of("x".repeat(511)).marks()).isEmpty();
-        assertThat(PromptPrefix.of("x".repeat(513)).marks()).hasSize(1);
+    public void promptsShorterThanOneBlockHaveNoPrefixHashes() {
+        assertThat(PromptPrefix.of("x".repeat(511)).prefixHashes()).isEmpty();
+        assertThat(PromptPrefix.of("x".repeat(513)).prefixHashes()).hasSize(1);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/routing/ReplicaSelectorTest.java
+++ b/core/src/test/java/org/streamring/kernel/routing/ReplicaSelectorTest.java
@@ -11,7 +11,7 @@
 
 public class ReplicaSelectorTest extends RoutingTestBase {
     @Test
-    public void aRequestGoesWhereItsRankHasRoomHoweverFewHaveIt() {
+    public void aRequestGoesToTheOnlyReplicaWithCapacityForItsRank() {
         for (int i = 0; i < 5; i++) {
             table.reported("s" + i, new LoadReport(9, 10, false));
         }
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void aRefusedRequestIsOnlySentOnWhereItsRankHasRoom() {
+    public void aRefusedRequestIsOnlyRetriedAtAReplicaWithCapacityForItsRank() {
         for (int i = 0; i < 6; i++) {
             table.reported("s" + i, new LoadReport(9, 12, false));
         }
@@ -36,7 +36,7 @@
         assertThat(ReplicaSelector.hasRoomElsewhere(candidates(0), highest)).isTrue();
         table.reported("s0", new LoadReport(0, 12, false));
         assertThat(ReplicaSelector.hasRoomElsewhere(candidates(0), lowest))
-                .as("where it was tried does not count")
+                .as("a replica that was already tried does not count")
                 .isFalse();
     }
 
@@ -48,8 +48,8 @@
                 .name();
     }
 
-    private static String prompt(String beginning, int seed) {
-        return beginning.repeat(400) + Integer.toString(seed).repeat(400);
+    private static String prompt(String prefix, int seed) {
+        return prefix.repeat(400) + Integer.toString(seed).repeat(400);
     }
 
     private void reportAll(int running) {
@@ -59,18 +59,18 @@
     }
 
     @Test
-    public void promptsThatBeginAlikeGoToTheSameServer() {
+    public void promptsWithTheSamePrefixGoToTheSameServer() {
         reportAll(10);
-        for (String beginning : List.of("alpha ", "beta ", "gamma ")) {
-            String first = choose(prompt(beginning, 1));
+        for (String prefix : List.of("alpha ", "beta ", "gamma ")) {
+            String first = choose(prompt(prefix, 1));
             for (int i = 2; i < 30; i++) {
-                assertThat(choose(prompt(beginning, i))).isEqualTo(first);
+                assertThat(choose(prompt(prefix, i))).isEqualTo(first);
             }
         }
     }
 
     @Test
-    public void aMuchBusierServerDoesNotGetAPromptItHasCached() {
+    public void aMuchBusierServerIsNotChosenThoughItHasThePromptCached() {
         reportAll(10);
         String first = choose(prompt("alpha ", 1));
         table.reported(first, new LoadReport(90, 100, false));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void oneBeginningOfAllPromptsDoesNotFillOneServer() {
+    public void aPrefixSharedByAllPromptsDoesNotOverloadOneServer() {
         reportAll(0);
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 300; i++) {
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void aRetryGoesToAnotherFailureDomainIfOneIsLeft() {
+    public void aRetryGoesToAnotherFailureDomainIfOneIsAvailable() {
         for (int i = 0; i < 50; i++) {
             Candidate chosen = selector.choose(
                             candidates(0),
@@ -112,7 +112,7 @@
     }
 
     @Test
-    public void lateReportsDoNotSendEverythingToOneServer() {
+    public void outdatedReportsDoNotSendAllRequestsToOneServer() {
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 600; i++) {
             Candidate chosen = selector.choose(candidates(0), RouteQuery.FIRST_TRY, Candidate::load)
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void anIdentifierGoesToTheSameServerFromEveryEntry() {
+    public void requestsWithTheSameIdentifierGoToTheSameServerFromEveryEntry() {
         String first = selector.choose(
                         candidates(0),
                         new RouteQuery(Set.of(), Set.of(), "acc/key", 0, PromptPrefix.NONE),
--- a/core/src/test/java/org/streamring/kernel/routing/RoutingTestBase.java
+++ b/core/src/test/java/org/streamring/kernel/routing/RoutingTestBase.java
@@ -8,7 +8,7 @@
 import org.streamring.model.box.BackendServer;
 import org.testng.annotations.BeforeMethod;
 
-/** Base of the tests on routing: six replicas of one service in three failure domains. */
+/** Base class of the routing tests, with six replicas of one service in three failure domains. */
 public abstract class RoutingTestBase {
     protected ReplicaTable table;
     protected ReplicaSelector selector;
--- a/core/src/test/java/org/streamring/kernel/routing/SubsetSelectorTest.java
+++ b/core/src/test/java/org/streamring/kernel/routing/SubsetSelectorTest.java
@@ -13,20 +13,20 @@
 
 public class SubsetSelectorTest extends RoutingTestBase {
     @Test
-    public void subsetsTakeFailureDomainsInTurnAndReachEveryServer() {
+    public void subsetsSpreadOverFailureDomainsAndCoverAlmostAllServers() {
         List<BackendServer> all = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             all.add(server("r" + i, "domain-" + i % 16));
         }
-        Set<BackendServer> reached = new HashSet<>();
+        Set<BackendServer> covered = new HashSet<>();
         for (int entry = 0; entry < 80; entry++) {
             Set<BackendServer> subset = new SubsetSelector("entry-" + entry, 32).choose(all);
             assertThat(subset).hasSize(32);
             Map<String, Integer> perDomain = new HashMap<>();
             subset.forEach(server -> perDomain.merge(server.failureDomain(), 1, Integer::sum));
             assertThat(perDomain.values()).allMatch(count -> count == 2);
-            reached.addAll(subset);
+            covered.addAll(subset);
         }
-        assertThat(reached).as("reached by some entry").hasSizeGreaterThan(395);
+        assertThat(covered).as("covered by some entry").hasSizeGreaterThan(395);
     }
 }
