--- a/core/src/main/java/org/streamring/kernel/recovery/EntryWatch.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/EntryWatch.java
@@ -8,51 +8,52 @@
 import org.streamring.kernel.table.Row;
 
 /**
- * Finds entries whose row no longer changes. Time counts only while the table answers: after an outage every entry gets
- * the whole time again, since it could not have written during it.
+ * Detects entries whose row no longer changes. The time without a change starts anew for every entry after an outage of
+ * the table, because entries cannot write their rows during an outage.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class EntryWatch {
     private final Duration suspectAfter;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, LastChange> seen = new HashMap<>();
     private long lastScanMillis = Long.MIN_VALUE;
 
-    private record Seen(long version, long sinceMillis) {}
+    private record LastChange(long version, long sinceMillis) {}
 
     /**
-     * Creates one.
+     * Creates a watch.
      *
-     * @param suspectAfter time without a change after which an entry is taken for dead
+     * @param suspectAfter time without a change after which an entry is suspected to be dead
      */
     public EntryWatch(Duration suspectAfter) {
         this.suspectAfter = suspectAfter;
     }
 
     /**
-     * Takes in a scan of all entries' rows.
+     * Compares a scan of the rows of all entries with the previous scan.
      *
-     * @param lastTroubleMillis when the table last gave this process no answer; negative for never
-     * @return the rows of entries taken for dead
+     * @param lastFailedCallMillis time of the last call by this process that the table did not answer; negative if
+     *     there was none
+     * @return the rows of the entries suspected to be dead
      */
-    public List<Row> observe(List<Row> entryRows, long lastTroubleMillis, long nowMillis) {
-        if (lastTroubleMillis >= lastScanMillis) {
+    public List<Row> observe(List<Row> entryRows, long lastFailedCallMillis, long nowMillis) {
+        if (lastFailedCallMillis >= lastScanMillis) {
             seen.clear();
         }
         lastScanMillis = nowMillis;
-        Map<String, Seen> next = new HashMap<>();
+        Map<String, LastChange> newChanges = new HashMap<>();
         List<Row> suspects = new ArrayList<>();
         for (Row row : entryRows) {
-            Seen before = seen.get(row.key());
-            boolean unchanged = before != null && before.version() == row.version();
-            Seen now = unchanged ? before : new Seen(row.version(), nowMillis);
-            next.put(row.key(), now);
-            if (nowMillis - now.sinceMillis() >= suspectAfter.toMillis()) {
+            LastChange previous = seen.get(row.key());
+            boolean unchanged = previous != null && previous.version() == row.version();
+            LastChange change = unchanged ? previous : new LastChange(row.version(), nowMillis);
+            newChanges.put(row.key(), change);
+            if (nowMillis - change.sinceMillis() >= suspectAfter.toMillis()) {
                 suspects.add(row);
             }
         }
         seen.clear();
-        seen.putAll(next);
+        seen.putAll(newChanges);
         return suspects;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/recovery/HeldResolver.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/HeldResolver.java
@@ -14,38 +14,42 @@
 import org.streamring.kernel.table.RowText;
 import org.streamring.kernel.table.Transaction;
 
-/** Builds the transactions that settle held tokens, when a missing sidecar answers or an operator decides. */
+/**
+ * Builds the transactions that settle held tokens once an unreachable sidecar answers or an operator decides how many
+ * of them were spent.
+ */
 public final class HeldResolver {
     private final String resolver;
 
     /**
-     * Creates one.
+     * Creates a resolver.
      *
-     * @param resolver who resolves, part of the transaction identifiers
+     * @param resolver name of the resolving process, used in the transaction identifiers
      */
     public HeldResolver(String resolver) {
         this.resolver = resolver;
     }
 
     /**
-     * A resolving transaction and the items that it bills.
+     * Transaction that settles a held row, and the items that it bills.
      *
-     * @param transaction what to apply
-     * @param items what to write as a bill batch before it
+     * @param transaction transaction to apply
+     * @param items items to write as a bill batch before the transaction is applied
      */
     public record Resolution(Transaction transaction, List<BillItem> items) {
-        /** Copies the list. */
+        /** Creates a resolution with a copy of the list. */
         public Resolution {
             items = List.copyOf(items);
         }
     }
 
     /**
-     * Settles what a sidecar that was waited for now answers.
+     * Builds the transaction that settles a held row with the answer of a sidecar that was unreachable before.
      *
-     * @param heldRow the held row
-     * @param answer the sidecar's final receipts for the lease
-     * @param billed attempts that are billed already: one that was tried on two sidecars is billed once
+     * @param heldRow row of the held tokens
+     * @param answer final receipts of the sidecar for the lease
+     * @param billed attempts that were already billed and are not billed again, such as one that was sent to two
+     *     sidecars
      */
     public Resolution onAnswer(Row heldRow, PeerReceipts answer, Set<String> billed, long nowMillis) {
         HeldRecord record = RowText.read(heldRow.text(), HeldRecord.class);
@@ -56,25 +60,25 @@
                 .toList();
         long spent = Math.min(
                 heldRow.amount(), items.stream().mapToLong(BillItem::tokens).sum());
-        List<String> silent = new ArrayList<>(record.waitingFor());
-        silent.remove(answer.peer());
+        List<String> unanswered = new ArrayList<>(record.waitingFor());
+        unanswered.remove(answer.peer());
         List<RowOperation> operations = new ArrayList<>();
-        long rest = heldRow.amount() - spent;
-        if (silent.isEmpty()) {
+        long remainder = heldRow.amount() - spent;
+        if (unanswered.isEmpty()) {
             operations.add(new Delete(heldRow.key(), heldRow.version()));
-            addSums(operations, record.budget(), heldRow.amount(), spent, rest);
+            addSums(operations, record.budget(), heldRow.amount(), spent, remainder);
         } else {
-            HeldRecord less = new HeldRecord(record.budget(), record.leaseId(), record.attempts(), silent);
-            operations.add(new Update(heldRow.key(), heldRow.version(), rest, RowText.write(less)));
+            HeldRecord reducedRecord = new HeldRecord(record.budget(), record.leaseId(), record.attempts(), unanswered);
+            operations.add(new Update(heldRow.key(), heldRow.version(), remainder, RowText.write(reducedRecord)));
             addSums(operations, record.budget(), spent, spent, 0);
         }
         return new Resolution(new Transaction(id(heldRow), operations), items);
     }
 
     /**
-     * Settles as an operator decides.
+     * Builds the operations that settle a held row by decision of an operator.
      *
-     * @param spent how many of the held tokens count as spent; the others go back
+     * @param spent number of held tokens that count as spent; the others are returned to the budget
      */
     public List<RowOperation> onDecision(Row heldRow, long spent) {
         HeldRecord record = RowText.read(heldRow.text(), HeldRecord.class);
@@ -84,17 +88,18 @@
         return operations;
     }
 
-    private static void addSums(List<RowOperation> operations, String budget, long released, long spent, long back) {
+    private static void addSums(
+            List<RowOperation> operations, String budget, long released, long spent, long returned) {
         LeaseCloser.addUnlessZero(operations, RowKeys.held(budget), -released);
         LeaseCloser.addUnlessZero(operations, RowKeys.settled(budget), spent);
-        LeaseCloser.addUnlessZero(operations, RowKeys.remaining(budget), back);
+        LeaseCloser.addUnlessZero(operations, RowKeys.remaining(budget), returned);
     }
 
     private String id(Row heldRow) {
         return resolver + ":held:" + heldRow.key() + "@" + heldRow.version();
     }
 
-    /** Whether every receipt of an answer that matters to a held row has ended. */
+    /** Returns whether the attempts of all receipts that concern a held row have ended. */
     public static boolean isFinal(Row heldRow, List<Receipt> receipts) {
         HeldRecord record = RowText.read(heldRow.text(), HeldRecord.class);
         return receipts.stream()
--- a/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
@@ -23,76 +23,77 @@
 import org.streamring.kernel.table.Transaction;
 
 /**
- * Builds the transactions that close another entry's leases. Each is built from rows as just read, and is conditional
- * on them; whoever finds that it was rejected or lost reads again and goes on. So two closers, a lost answer or a late
- * write settle every lease exactly once.
+ * Builds the transactions that close the leases of another entry. Each transaction is built from rows that were just
+ * read and is conditional on their versions. If it is rejected or its answer is lost, the caller reads the rows again
+ * and continues. So every lease is settled exactly once, even with two concurrent closers, a lost answer or a delayed
+ * write.
  *
- * <p>Order: {@link #markClosing} stops the holder's writes. Then every sidecar that the entry's row of peers names is
- * fenced and
- * asked for receipts. Then {@link #settle} counts each lease: what receipts show is settled; the rest goes back if all
- * sidecars have answered, and is held otherwise, because a silent sidecar may have spent it. Last, {@link #finish}
- * removes the entry's row.
+ * <p>The steps in order: {@link #markClosing} stops the writes of the entry that holds the leases. Then the caller
+ * sends a fence request to every sidecar listed in the entry's peers row and collects the receipts. Then
+ * {@link #settle} settles the tokens of each lease that the receipts show as spent. The remainder is returned to the
+ * budget if all sidecars have answered. Otherwise it is held, because an unreachable sidecar may have spent it.
+ * Finally, {@link #finish} removes the entry's rows.
  */
 public final class LeaseCloser {
-    /** Most leases that one transaction settles: each needs up to five operations. */
+    /** Maximum number of leases that one transaction settles; each needs up to five operations. */
     public static final int MAX_LEASES = 19;
 
     private final String closer;
 
     /**
-     * Creates one.
+     * Creates a closer.
      *
-     * @param closer incarnation of the entry that closes
+     * @param closer incarnation of the entry that closes the leases
      */
     public LeaseCloser(String closer) {
         this.closer = closer;
     }
 
-    /** Incarnation that a row of an entry belongs to. */
+    /** Returns the incarnation that an entry's row belongs to. */
     public static String incarnationOf(Row entryRow) {
         return entryRow.key().substring(RowKeys.ENTRIES.length());
     }
 
-    /** Stops the holder's writes, or takes over from another closer. */
+    /** Builds the transaction that stops the holder's writes, or that takes over from another closer. */
     public Transaction markClosing(Row entryRow) {
         EntryRecord record = RowText.read(entryRow.text(), EntryRecord.class);
         return new Transaction(id(entryRow, "mark"), List.of(replaceEntryRow(entryRow, record.closedBy(closer))));
     }
 
-    /** Whether this closer owns the closing. */
+    /** Returns whether the entry's row is marked as being closed by this closer. */
     public boolean owns(Row entryRow) {
         EntryRecord record = RowText.read(entryRow.text(), EntryRecord.class);
         return record.state() == EntryRecord.State.CLOSING && record.closer().equals(closer);
     }
 
-    /** Sidecars that may hold receipts, as the row of the entry's peers names them. */
+    /** Returns the sidecars listed in the entry's peers row, which may hold receipts. */
     public static List<String> peersOf(Row peersRow) {
         return RowText.read(peersRow.text(), PeersRecord.class).peers();
     }
 
     /**
-     * A settling transaction and the items that it bills.
+     * Transaction that settles leases, and the items that it bills.
      *
-     * @param transaction what to apply
-     * @param items what to write as a bill batch before it
-     * @param held tokens that it holds
+     * @param transaction transaction to apply
+     * @param items items to write as a bill batch before the transaction is applied
+     * @param held tokens that the transaction moves to held rows
      */
     public record Settlement(Transaction transaction, List<BillItem> items, long held) {
-        /** Copies the list. */
+        /** Creates a settlement with a copy of the list. */
         public Settlement {
             items = List.copyOf(items);
         }
     }
 
     /**
-     * What a closer has found out about an entry.
+     * Receipts and bill items that a closer has collected about an entry.
      *
      * @param peers sidecars that may hold receipts
-     * @param answers final answers of those that answered
-     * @param known items that the holder had written before it died and that are not settled
+     * @param answers final answers of the sidecars that answered
+     * @param known items that the holder wrote before it died and that are not settled yet
      */
     public record Findings(List<String> peers, List<PeerReceipts> answers, List<BillItem> known) {
-        /** Copies the lists. */
+        /** Creates findings with copies of the lists. */
         public Findings {
             peers = List.copyOf(peers);
             answers = List.copyOf(answers);
@@ -107,23 +108,24 @@
     }
 
     /**
-     * Settles leases.
+     * Builds the transaction that settles leases.
      *
-     * @param entryRow the entry's row, marked by this closer
+     * @param entryRow the entry's row, marked as being closed by this closer
      * @param leaseRows rows of at most {@value #MAX_LEASES} leases
      */
     public Settlement settle(Row entryRow, List<Row> leaseRows, Findings findings, long nowMillis) {
         Map<String, BillItem> items = new HashMap<>();
-        Map<String, Long> sums = new LinkedHashMap<>();
+        Map<String, Long> budgetDeltas = new LinkedHashMap<>();
         List<RowOperation> operations = new ArrayList<>();
         operations.add(replaceEntryRow(entryRow, RowText.read(entryRow.text(), EntryRecord.class)));
-        long heldInAll = 0;
+        long totalHeld = 0;
         for (Row leaseRow : leaseRows) {
             String leaseId = leaseIdOf(leaseRow);
             String budget = RowText.read(leaseRow.text(), LeaseRecord.class).budget();
-            Map<String, BillItem> own = itemsOf(leaseId, findings, nowMillis);
-            items.putAll(own);
-            long spent = own.values().stream().mapToLong(BillItem::tokens).sum();
+            Map<String, BillItem> leaseItems = itemsOf(leaseId, findings, nowMillis);
+            items.putAll(leaseItems);
+            long spent =
+                    leaseItems.values().stream().mapToLong(BillItem::tokens).sum();
             long rest = Math.max(0, leaseRow.amount() - spent);
             long held = findings.silent().isEmpty() ? 0 : rest;
             operations.add(new Delete(leaseRow.key(), leaseRow.version()));
@@ -131,17 +133,17 @@
                 HeldRecord record = new HeldRecord(budget, leaseId, List.of(), findings.silent());
                 operations.add(new Insert(RowKeys.heldRemainder(leaseId, "rest"), held, RowText.write(record)));
             }
-            sums.merge(RowKeys.settled(budget), spent, Long::sum);
-            sums.merge(RowKeys.remaining(budget), rest - held, Long::sum);
-            sums.merge(RowKeys.held(budget), held, Long::sum);
-            heldInAll += held;
+            budgetDeltas.merge(RowKeys.settled(budget), spent, Long::sum);
+            budgetDeltas.merge(RowKeys.remaining(budget), rest - held, Long::sum);
+            budgetDeltas.merge(RowKeys.held(budget), held, Long::sum);
+            totalHeld += held;
         }
-        sums.forEach((key, delta) -> addUnlessZero(operations, key, delta));
+        budgetDeltas.forEach((key, delta) -> addUnlessZero(operations, key, delta));
         Transaction transaction = new Transaction(id(entryRow, "settle"), operations);
-        return new Settlement(transaction, List.copyOf(items.values()), heldInAll);
+        return new Settlement(transaction, List.copyOf(items.values()), totalHeld);
     }
 
-    /** Identifier of the lease that a row stands for. */
+    /** Returns the identifier of a row's lease. */
     public static String leaseIdOf(Row leaseRow) {
         return leaseRow.key().substring(RowKeys.lease("").length());
     }
@@ -160,12 +162,12 @@
         return items;
     }
 
-    /** An attempt that was tried on two sidecars is billed once. */
+    /** Returns the item with more tokens, because an attempt that was sent to two sidecars is billed once. */
     private static BillItem larger(BillItem one, BillItem other) {
         return one.tokens() >= other.tokens() ? one : other;
     }
 
-    /** Removes the entry's rows once no lease is left. */
+    /** Builds the transaction that removes the entry's rows after all its leases are settled. */
     public Transaction finish(Row entryRow, Row peersRow) {
         return new Transaction(
                 id(entryRow, "finish"),
--- a/core/src/main/java/org/streamring/kernel/recovery/PeerReceipts.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/PeerReceipts.java
@@ -4,18 +4,18 @@
 import org.streamring.kernel.receipt.Receipt;
 
 /**
- * A sidecar's answer to a fence.
+ * Answer of a sidecar to a fence request.
  *
  * @param peer incarnation of the sidecar
- * @param receipts its receipts for leases of the fenced entry
+ * @param receipts receipts of the sidecar for leases of the fenced entry
  */
 public record PeerReceipts(String peer, List<Receipt> receipts) {
-    /** Copies the list. */
+    /** Creates an answer with a copy of the list. */
     public PeerReceipts {
         receipts = List.copyOf(receipts);
     }
 
-    /** Whether an attempt is still running, so that this answer is not the last. */
+    /** Returns whether an attempt is still running; if so, the sidecar has to be queried again. */
     public boolean stillRunning() {
         return receipts.stream().anyMatch(receipt -> !receipt.ended());
     }
--- a/core/src/main/java/org/streamring/kernel/recovery/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/package-info.java
@@ -1,4 +1,7 @@
-/** Closing the leases of an entry that died or was paused: fence, collect receipts, settle once. */
+/**
+ * Closes the leases of an entry that died or was paused: fences the entry, collects receipts and settles each lease
+ * once.
+ */
 @NullMarked
 package org.streamring.kernel.recovery;
 
--- a/core/src/test/java/org/streamring/kernel/recovery/EntryWatchTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/EntryWatchTest.java
@@ -15,22 +15,23 @@
     }
 
     @Test
-    public void anEntryWhoseRowStandsStillIsTakenForDead() {
-        Row still = row("a~1", 5);
+    public void anEntryWhoseRowDoesNotChangeIsSuspected() {
+        Row unchanged = row("a~1", 5);
         for (int second = 0; second < 30; second += 5) {
-            assertThat(watch.observe(List.of(still, row("b~1", second)), -1, second * 1000L))
+            assertThat(watch.observe(List.of(unchanged, row("b~1", second)), -1, second * 1000L))
                     .isEmpty();
         }
-        assertThat(watch.observe(List.of(still, row("b~1", 99)), -1, 30_000)).containsExactly(still);
+        assertThat(watch.observe(List.of(unchanged, row("b~1", 99)), -1, 30_000))
+                .containsExactly(unchanged);
     }
 
     @Test
-    public void anOutageOfTheTableGivesEveryEntryTheWholeTimeAgain() {
+    public void theTimeWithoutAChangeStartsAnewAfterATableOutage() {
         EntryWatch afterOutage = new EntryWatch(Duration.ofSeconds(30));
-        Row still = row("a~1", 5);
-        afterOutage.observe(List.of(still), -1, 1_000);
-        assertThat(afterOutage.observe(List.of(still), 599_000, 600_000)).isEmpty();
-        assertThat(afterOutage.observe(List.of(still), 599_000, 629_000)).isEmpty();
-        assertThat(afterOutage.observe(List.of(still), 599_000, 630_000)).containsExactly(still);
+        Row unchanged = row("a~1", 5);
+        afterOutage.observe(List.of(unchanged), -1, 1_000);
+        assertThat(afterOutage.observe(List.of(unchanged), 599_000, 600_000)).isEmpty();
+        assertThat(afterOutage.observe(List.of(unchanged), 599_000, 629_000)).isEmpty();
+        assertThat(afterOutage.observe(List.of(unchanged), 599_000, 630_000)).containsExactly(unchanged);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/recovery/FaultedAttempt.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/FaultedAttempt.java
@@ -4,7 +4,7 @@
 import org.streamring.kernel.ledger.Reservation;
 import org.streamring.kernel.receipt.AttemptOrder;
 
-/** An attempt on its way from an entry to a sidecar, or running there. */
+/** Attempt in transit from an entry to a sidecar, or running at the sidecar. */
 final class FaultedAttempt {
     final LedgerDriver entry;
     final Reservation reservation;
@@ -22,7 +22,7 @@
         return reservation.attempt();
     }
 
-    boolean onItsWay() {
+    boolean inTransit() {
         return !running && !done;
     }
 
@@ -30,13 +30,13 @@
         return running && !done;
     }
 
-    /** What the entry tells the sidecar to run, on account of a budget. */
+    /** Returns the order that the entry sends to the sidecar, paid by a budget. */
     AttemptOrder order(String budget) {
         return TestOrders.of(reservation, entry.ledger.incarnation(), budget);
     }
 
-    /** Its entry no longer knows what becomes of it. */
-    void lose() {
+    /** Marks the attempt as uncertain in the ledger of its entry. */
+    void markUncertain() {
         entry.ledger.markUncertain(reservation, sidecar);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/recovery/ItemisedBill.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/ItemisedBill.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import org.streamring.kernel.ledger.BillItem;
 
-/** What was billed, by attempt. Whoever writes an item again must write the same. */
+/** Billed items by attempt. An item that is written again must have the same number of tokens. */
 final class ItemisedBill {
     private final Map<String, BillItem> items = new HashMap<>();
 
     void add(BillItem item) {
-        BillItem before = items.put(item.attempt(), item);
-        assertThat(before == null ? item.tokens() : before.tokens())
+        BillItem previous = items.put(item.attempt(), item);
+        assertThat(previous == null ? item.tokens() : previous.tokens())
                 .as("one bill for %s", item.attempt())
                 .isEqualTo(item.tokens());
     }
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Compares the bill with what ran.
+     * Compares the bill with the tokens used by the attempts that ran.
      *
-     * @param ran tokens by attempt
-     * @param unbillable attempts whose receipts are lost; only these may be missing
+     * @param ran tokens used, by attempt
+     * @param unbillable attempts whose receipts are lost; only these may be missing from the bill
      * @return tokens of the attempts that are missing
      */
     long assertCovers(Map<String, Long> ran, Set<String> unbillable, String run) {
--- a/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void whatReceiptsShowIsSettledAndTheRestGoesBack() {
+    public void tokensInReceiptsAreSettledAndTheRemainderIsReturned() {
         run("s1~a", 70);
         run("s2~a", 30);
         List<BillItem> bills = close(new LeaseCloser("entry-2~b"), fence("s1~a", "s2~a"));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void whatASilentSidecarMayHaveSpentIsHeld() {
+    public void tokensThatAnUnreachableSidecarMayHaveSpentAreHeld() {
         run("s1~a", 70);
         run("s2~a", 30);
         long leased = bank.leased(BUDGET);
@@ -119,7 +119,7 @@
     }
 
     @Test
-    public void aSilentSidecarThatComesBackSettlesWhatIsHeld() {
+    public void heldTokensAreSettledWhenTheUnreachableSidecarAnswers() {
         run("s1~a", 70);
         run("s2~a", 30);
         close(new LeaseCloser("entry-2~b"), fence("s1~a"));
@@ -134,7 +134,7 @@
     }
 
     @Test
-    public void anAttemptTriedOnTwoSidecarsIsBilledOnce() {
+    public void anAttemptSentToTwoSidecarsIsBilledOnce() {
         Reservation reservation = holder.reserve(BUDGET, 100, 0).orElseThrow();
         for (String sidecar : List.of("s1~a", "s2~a")) {
             sidecars.get(sidecar).admit(order(reservation), 0);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    public void itemsThatTheHolderHadWrittenAreCountedThoughTheSidecarIsGone() {
+    public void itemsWrittenByTheHolderAreSettledEvenIfTheSidecarIsUnreachable() {
         AttemptOrder order = submit("s1~a");
         BillItem written = LedgerDriver.item(new Reservation(order.attempt(), BUDGET, order.leaseId(), 100), 55);
         bank.table.transact(new LeaseCloser("entry-2~b").markClosing(entryRow()));
@@ -189,8 +189,8 @@
     }
 
     @Test
-    public void aSidecarPausedBetweenCheckAndForwardIsCounted() {
-        // The check and the receipt are one step: whatever passed the check before the fence stands in its answer.
+    public void anAttemptAdmittedBeforeTheFenceIsInTheAnswerToTheFence() {
+        // The check and the receipt are one step: an order that passed the check before the fence is in its answer.
         AttemptOrder passedCheck = submit("s1~a");
         List<PeerReceipts> answers = fence("s1~a");
         assertThat(answers.get(0).receipts())
@@ -199,7 +199,7 @@
     }
 
     @Test
-    public void aFencedEntryRunsNothingMoreAtASidecar() {
+    public void aSidecarRefusesOrdersOfAFencedEntry() {
         Reservation reservation = holder.reserve(BUDGET, 100, 0).orElseThrow();
         fence("s1~a");
         assertThat(sidecars.get("s1~a").admit(order(reservation), 0))
@@ -218,16 +218,16 @@
         LeaseCloser second = new LeaseCloser("entry-3~c");
         List<PeerReceipts> answers = fence("s1~a", "s2~a");
         bank.table.transact(first.markClosing(entryRow()));
-        Row asFirstSawIt = entryRow();
+        Row rowReadByFirst = entryRow();
         Row lease = bank.rows(RowKeys.leasesOf(HOLDER)).get(0);
-        LeaseCloser.Settlement ofFirst = first.settle(asFirstSawIt, List.of(lease), findings(answers), 0);
+        LeaseCloser.Settlement firstSettlement = first.settle(rowReadByFirst, List.of(lease), findings(answers), 0);
         if (takeoverAfter == 0) {
             bank.table.transact(second.markClosing(entryRow()));
         }
-        TransactionResult firstResult = bank.table.transact(ofFirst.transaction());
+        TransactionResult firstResult = bank.table.transact(firstSettlement.transaction());
         assertThat(firstResult instanceof Committed).isEqualTo(takeoverAfter != 0);
         if (takeoverAfter == 2) {
-            assertThat(bank.table.transact(ofFirst.transaction()))
+            assertThat(bank.table.transact(firstSettlement.transaction()))
                     .as("repeated")
                     .isNotInstanceOf(Committed.class);
         }
@@ -237,7 +237,7 @@
     }
 
     @Test
-    public void aPausedHolderThatWakesUpChangesNothing() {
+    public void aHolderThatResumesAfterItsLeasesWereClosedChangesNothing() {
         run("s1~a", 70);
         close(new LeaseCloser("entry-2~b"), fence("s1~a", "s2~a"));
         holder.settleDown(DAY);
@@ -264,7 +264,7 @@
     }
 
     @Test
-    public void anOperatorDecidesOnHeldTokens() {
+    public void heldTokensAreSettledByDecisionOfAnOperator() {
         run("s1~a", 70);
         close(new LeaseCloser("entry-2~b"), List.of());
         Row held = bank.rows(RowKeys.HELD).get(0);
--- a/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
@@ -31,7 +31,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Random faults, in random order, against the ledger, receipts and closing; fixed seeds. */
+/**
+ * Injects random faults in random order into the ledger, the receipts and the closing of leases, with fixed seeds.
+ * Checks that no tokens are overspent, lost or billed twice.
+ */
 public class MoneyUnderFaultsTest {
     private static final String BUDGET = "budget";
     private static final long GRANTED = 20_000;
@@ -41,14 +44,14 @@
     private SplittableRandom random;
     private Bank bank;
     private long now;
-    private int names;
+    private int nameCount;
     private List<LedgerDriver> live;
     private List<LedgerDriver> dead;
     private Map<String, ReceiptBook> sidecars;
-    private Set<String> cutOff;
-    private List<FaultedAttempt> work;
-    private Map<String, Long> ran;
-    private Set<String> ranWhereReceiptsDied;
+    private Set<String> disconnected;
+    private List<FaultedAttempt> attempts;
+    private Map<String, Long> usedTokens;
+    private Set<String> attemptsWithLostReceipts;
     private ItemisedBill bill;
     private Map<String, Long> closedAt;
 
@@ -72,14 +75,14 @@
         random = new SplittableRandom(seed);
         bank = new Bank().grant(BUDGET, GRANTED);
         now = 0;
-        names = 0;
+        nameCount = 0;
         live = new ArrayList<>();
         dead = new ArrayList<>();
         sidecars = new HashMap<>();
-        cutOff = new HashSet<>();
-        work = new ArrayList<>();
-        ran = new HashMap<>();
-        ranWhereReceiptsDied = new HashSet<>();
+        disconnected = new HashSet<>();
+        attempts = new ArrayList<>();
+        usedTokens = new HashMap<>();
+        attemptsWithLostReceipts = new HashSet<>();
         bill = new ItemisedBill();
         closedAt = new HashMap<>();
         for (int i = 0; i < 3; i++) {
@@ -90,37 +93,37 @@
         }
         for (int step = 0; step < STEPS; step++) {
             now += random.nextInt(2_000);
-            act();
+            performRandomAction();
             bank.assertSumsAgree(BUDGET);
-            assertThat(ran.values().stream().mapToLong(Long::longValue).sum())
-                    .as("seed %d step %d: what ran is covered", seed, step)
+            assertThat(usedTokens.values().stream().mapToLong(Long::longValue).sum())
+                    .as("seed %d step %d: tokens used do not exceed the tokens granted", seed, step)
                     .isLessThanOrEqualTo(GRANTED);
         }
-        comeToRest();
-        assertAccounts(seed);
+        finishAndCloseAll();
+        assertBalances(seed);
     }
 
-    private void act() {
+    private void performRandomAction() {
         switch (random.nextInt(14)) {
-            case 0, 1, 2, 3 -> request();
-            case 4, 5 -> deliver();
-            case 6, 7 -> end();
+            case 0, 1, 2, 3 -> startRequest();
+            case 4, 5 -> deliverOrder();
+            case 6, 7 -> endAttempt();
             case 8, 9 -> stepEntry();
-            case 10 -> toggleCut();
+            case 10 -> toggleConnection();
             case 11 -> closeOne();
             case 12 -> resolveHeld();
-            default -> rareEvent();
+            default -> performRareAction();
         }
     }
 
-    private void rareEvent() {
+    private void performRareAction() {
         int kind = random.nextInt(8);
         if (kind == 0 && live.size() > 1) {
             LedgerDriver killed = live.remove(random.nextInt(live.size()));
             dead.add(killed);
             startEntry();
         } else if (kind == 1) {
-            killSidecar(pick(new ArrayList<>(sidecars.keySet())));
+            removeSidecar(pick(new ArrayList<>(sidecars.keySet())));
             startSidecar();
         } else {
             live.forEach(entry -> entry.table.deliverLate());
@@ -133,78 +136,78 @@
     }
 
     private void startEntry() {
-        LedgerDriver entry = new LedgerDriver("entry~" + ++names, bank, LedgerSettings.prompt());
+        LedgerDriver entry = new LedgerDriver("entry~" + ++nameCount, bank, LedgerSettings.prompt());
         sidecars.keySet().forEach(entry.ledger::announcePeer);
         live.add(entry);
     }
 
     private void startSidecar() {
-        String name = "sidecar~" + ++names;
+        String name = "sidecar~" + ++nameCount;
         sidecars.put(name, new ReceiptBook(ReceiptBookSettings.defaults()));
         live.forEach(entry -> entry.ledger.announcePeer(name));
     }
 
-    /** What ran there stays spent, though its receipts are gone. */
-    private void killSidecar(String name) {
+    /** Removes a sidecar and its receipts. The tokens of attempts that ran at it stay spent. */
+    private void removeSidecar(String name) {
         sidecars.remove(name);
-        cutOff.remove(name);
-        for (FaultedAttempt one : work) {
-            if (one.sidecar.equals(name)) {
-                ranWhereReceiptsDied.add(one.name());
-                if (!one.done) {
-                    one.done = true;
-                    one.lose();
+        disconnected.remove(name);
+        for (FaultedAttempt attempt : attempts) {
+            if (attempt.sidecar.equals(name)) {
+                attemptsWithLostReceipts.add(attempt.name());
+                if (!attempt.done) {
+                    attempt.done = true;
+                    attempt.markUncertain();
                 }
             }
         }
         live.forEach(entry -> entry.ledger.retirePeer(name, now));
     }
 
-    private void request() {
+    private void startRequest() {
         LedgerDriver entry = pick(live);
         if (!(entry.tryReserve(BUDGET, 50 + random.nextInt(200), now) instanceof ReserveResult.Reserved reserved)) {
             return;
         }
         String sidecar = pick(new ArrayList<>(sidecars.keySet()));
-        if (cutOff.contains(sidecar) || !entry.ledger.mayUse(sidecar)) {
+        if (disconnected.contains(sidecar) || !entry.ledger.mayUse(sidecar)) {
             entry.ledger.release(reserved.reservation());
             return;
         }
-        work.add(new FaultedAttempt(entry, reserved.reservation(), sidecar));
+        attempts.add(new FaultedAttempt(entry, reserved.reservation(), sidecar));
     }
 
-    private void deliver() {
-        List<FaultedAttempt> waiting =
-                work.stream().filter(FaultedAttempt::onItsWay).toList();
-        if (waiting.isEmpty()) {
+    private void deliverOrder() {
+        List<FaultedAttempt> inTransitAttempts =
+                attempts.stream().filter(FaultedAttempt::inTransit).toList();
+        if (inTransitAttempts.isEmpty()) {
             return;
         }
-        FaultedAttempt one = pick(waiting);
-        if (sidecars.get(one.sidecar).admit(one.order(BUDGET), now) instanceof AdmitDecision.Run) {
-            one.running = true;
-            // Until its end is known it may use everything that was set aside for it.
-            ran.put(one.name(), one.reservation.tokens());
+        FaultedAttempt attempt = pick(inTransitAttempts);
+        if (sidecars.get(attempt.sidecar).admit(attempt.order(BUDGET), now) instanceof AdmitDecision.Run) {
+            attempt.running = true;
+            // Until the attempt has ended, it may use all reserved tokens.
+            usedTokens.put(attempt.name(), attempt.reservation.tokens());
         } else {
-            one.done = true;
-            one.entry.ledger.release(one.reservation);
+            attempt.done = true;
+            attempt.entry.ledger.release(attempt.reservation);
         }
     }
 
-    private void end() {
+    private void endAttempt() {
         List<FaultedAttempt> running =
-                work.stream().filter(FaultedAttempt::inProgress).toList();
+                attempts.stream().filter(FaultedAttempt::inProgress).toList();
         if (running.isEmpty()) {
             return;
         }
-        FaultedAttempt one = pick(running);
-        one.done = true;
-        long tokens = random.nextLong(one.reservation.tokens() + 1);
-        ran.put(one.name(), tokens);
-        sidecars.get(one.sidecar).end(one.order(BUDGET), Usage.flat(tokens), 0, now);
-        if (cutOff.contains(one.sidecar)) {
-            one.lose();
+        FaultedAttempt attempt = pick(running);
+        attempt.done = true;
+        long tokens = random.nextLong(attempt.reservation.tokens() + 1);
+        usedTokens.put(attempt.name(), tokens);
+        sidecars.get(attempt.sidecar).end(attempt.order(BUDGET), Usage.flat(tokens), 0, now);
+        if (disconnected.contains(attempt.sidecar)) {
+            attempt.markUncertain();
         } else {
-            one.entry.finish(one.reservation, tokens, now);
+            attempt.entry.finish(attempt.reservation, tokens, now);
         }
     }
 
@@ -220,13 +223,13 @@
             startEntry();
         }
         for (String sidecar : sidecars.keySet()) {
-            if (!cutOff.contains(sidecar)) {
-                askForDoubtful(entry, sidecar);
+            if (!disconnected.contains(sidecar)) {
+                resolveUncertain(entry, sidecar);
             }
         }
     }
 
-    private void askForDoubtful(LedgerDriver entry, String sidecar) {
+    private void resolveUncertain(LedgerDriver entry, String sidecar) {
         for (Reservation reservation : entry.ledger.uncertainAt(sidecar)) {
             List<Receipt> receipts = sidecars.get(sidecar).receiptsFor(List.of(reservation.attempt()));
             if (receipts.isEmpty()) {
@@ -237,18 +240,19 @@
         }
     }
 
-    private void toggleCut() {
+    private void toggleConnection() {
         String name = pick(new ArrayList<>(sidecars.keySet()));
-        if (cutOff.remove(name)) {
+        if (disconnected.remove(name)) {
             return;
         }
-        cutOff.add(name);
-        // Orders on their way may lie unread in the broken connection; their entries no longer know what becomes of
-        // them.
-        work.stream().filter(one -> one.sidecar.equals(name) && one.onItsWay()).forEach(FaultedAttempt::lose);
+        disconnected.add(name);
+        // Orders in transit may be unread in the broken connection, so their entries cannot tell whether they will run.
+        attempts.stream()
+                .filter(attempt -> attempt.sidecar.equals(name) && attempt.inTransit())
+                .forEach(FaultedAttempt::markUncertain);
     }
 
-    /** Any entry's row may be closed: its holder may be dead, or only taken for dead. */
+    /** Closes a random entry, which may be dead or live: a live entry can be suspected wrongly. */
     private void closeOne() {
         List<Row> rows = bank.rows(RowKeys.ENTRIES);
         if (rows.isEmpty() || random.nextInt(3) > 0) {
@@ -267,9 +271,9 @@
         List<String> peers = LeaseCloser.peersOf(peersRow);
         List<PeerReceipts> answers = new ArrayList<>();
         for (String peer : peers) {
-            ReceiptBook book = sidecars.get(peer);
-            if (book != null && !cutOff.contains(peer)) {
-                PeerReceipts answer = new PeerReceipts(peer, book.fence(incarnation));
+            ReceiptBook receiptStore = sidecars.get(peer);
+            if (receiptStore != null && !disconnected.contains(peer)) {
+                PeerReceipts answer = new PeerReceipts(peer, receiptStore.fence(incarnation));
                 if (answer.stillRunning()) {
                     return;
                 }
@@ -277,7 +281,7 @@
             }
         }
         LeaseCloser.Findings findings =
-                new LeaseCloser.Findings(peers, answers, writtenByHolder(incarnation, row.amount()));
+                new LeaseCloser.Findings(peers, answers, unsettledItems(incarnation, row.amount()));
         List<Row> leases = bank.rows(RowKeys.leasesOf(incarnation));
         int perTransaction = 1 + random.nextInt(3);
         for (int from = 0; from < leases.size(); from += perTransaction) {
@@ -286,7 +290,7 @@
             LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, findings, now);
             settlement.items().forEach(bill::add);
             TransactionResult result = bank.table.transact(settlement.transaction());
-            assertThat(result).as("nobody else acts here").isInstanceOf(Committed.class);
+            assertThat(result).as("there is no concurrent closer").isInstanceOf(Committed.class);
             if (stopHalfway) {
                 return;
             }
@@ -295,10 +299,10 @@
     }
 
     /**
-     * Batches after the last committed transaction are void once the incarnation is closed; the closer takes them
-     * over.
+     * Returns the items of batches after the last committed transaction. These batches are invalid after the
+     * incarnation was closed, and the closer bills their items instead.
      */
-    private List<BillItem> writtenByHolder(String incarnation, long committed) {
+    private List<BillItem> unsettledItems(String incarnation, long committed) {
         closedAt.put(incarnation, committed);
         return entries()
                 .filter(entry -> entry.ledger.incarnation().equals(incarnation))
@@ -314,7 +318,7 @@
         for (Row row : bank.rows(RowKeys.HELD)) {
             HeldRecord record = RowText.read(row.text(), HeldRecord.class);
             for (String peer : record.waitingFor()) {
-                if (sidecars.containsKey(peer) && !cutOff.contains(peer)) {
+                if (sidecars.containsKey(peer) && !disconnected.contains(peer)) {
                     resolve(row, record, peer);
                     break;
                 }
@@ -323,9 +327,10 @@
     }
 
     private void resolve(Row row, HeldRecord record, String peer) {
-        ReceiptBook book = sidecars.get(peer);
+        ReceiptBook receiptStore = sidecars.get(peer);
         String entry = record.leaseId().substring(0, record.leaseId().indexOf('/'));
-        List<Receipt> receipts = record.attempts().isEmpty() ? book.fence(entry) : book.receiptsFor(record.attempts());
+        List<Receipt> receipts =
+                record.attempts().isEmpty() ? receiptStore.fence(entry) : receiptStore.receiptsFor(record.attempts());
         if (!HeldResolver.isFinal(row, receipts)) {
             return;
         }
@@ -335,15 +340,15 @@
         bank.table.transact(resolution.transaction());
     }
 
-    /** All work ends, all cuts heal, all entries stop and are closed. */
-    private void comeToRest() {
-        while (work.stream().anyMatch(FaultedAttempt::onItsWay)) {
-            deliver();
+    /** Ends all attempts, restores all connections, then stops and closes all entries. */
+    private void finishAndCloseAll() {
+        while (attempts.stream().anyMatch(FaultedAttempt::inTransit)) {
+            deliverOrder();
         }
-        while (work.stream().anyMatch(FaultedAttempt::inProgress)) {
-            end();
+        while (attempts.stream().anyMatch(FaultedAttempt::inProgress)) {
+            endAttempt();
         }
-        cutOff.clear();
+        disconnected.clear();
         now += 86_400_000;
         live.forEach(entry -> {
             entry.settleDown(now);
@@ -351,7 +356,7 @@
         });
         dead.forEach(entry -> entry.table.deliverLate());
         for (int i = 0; i < 10; i++) {
-            // One sidecar is asked for a held row at a time.
+            // Each pass queries only one sidecar per held row.
             bank.rows(RowKeys.ENTRIES).forEach(row -> close(row, false));
             resolveHeld();
         }
@@ -361,15 +366,17 @@
         });
     }
 
-    private void assertAccounts(int seed) {
+    private void assertBalances(int seed) {
         bank.assertSumsAgree(BUDGET);
         assertThat(bank.leased(BUDGET))
                 .as("seed %d: no lease is left: %s %s", seed, bank.rows("lease/"), bank.rows("entry/"))
                 .isZero();
-        assertThat(bank.settled(BUDGET)).as("seed %d: settled is billed", seed).isEqualTo(bill.tokens());
-        long uncounted = bill.assertCovers(ran, ranWhereReceiptsDied, "seed " + seed);
+        assertThat(bank.settled(BUDGET))
+                .as("seed %d: settled tokens equal billed tokens", seed)
+                .isEqualTo(bill.tokens());
+        long unbilled = bill.assertCovers(usedTokens, attemptsWithLostReceipts, "seed " + seed);
         assertThat(bank.held(BUDGET))
-                .as("seed %d: what is not billed is held", seed)
-                .isGreaterThanOrEqualTo(uncounted);
+                .as("seed %d: used tokens that are not billed are held", seed)
+                .isGreaterThanOrEqualTo(unbilled);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/recovery/TestOrders.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/TestOrders.java
@@ -3,11 +3,11 @@
 import org.streamring.kernel.ledger.Reservation;
 import org.streamring.kernel.receipt.AttemptOrder;
 
-/** Orders to sidecars, as far as recovery looks at them. */
+/** Creates orders to sidecars for the recovery tests. */
 final class TestOrders {
     private TestOrders() {}
 
-    /** A repeatable attempt of its own request. */
+    /** Returns an order for a repeatable attempt of a separate request. */
     static AttemptOrder of(Reservation reservation, String incarnation, String budget) {
         return new AttemptOrder(
                 reservation.attempt(),
