--- a/core/src/main/java/org/streamring/kernel/receipt/AdmitDecision.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/AdmitDecision.java
@@ -2,25 +2,25 @@
 
 import org.streamring.model.request.RefusalReason;
 
-/** What a sidecar does with an order. */
+/** Decision of a sidecar on an order. */
 public sealed interface AdmitDecision {
-    /** Forward it; its receipt is written. */
+    /** The order is forwarded. Its receipt is already written. */
     record Run() implements AdmitDecision {}
 
     /**
-     * The same request is running or its answer is kept: deliver that; nothing is spent.
+     * The same request is running, or its answer is kept. That answer is delivered, and no tokens are spent.
      *
-     * @param originalAttempt the attempt that runs or ran
+     * @param originalAttempt identifier of the attempt that is running or has ended
      */
     record Attach(String originalAttempt) implements AdmitDecision {}
 
-    /** The request ran, but its answer is no longer kept. */
+    /** The request has already run, but its answer is no longer kept. */
     record RanBefore() implements AdmitDecision {}
 
     /**
-     * Not run, and the order will not be run by this incarnation.
+     * The order is not run, and this incarnation of the sidecar will not run it later.
      *
-     * @param reason why
+     * @param reason reason for the refusal
      */
     record Refuse(RefusalReason reason) implements AdmitDecision {}
 }
--- a/core/src/main/java/org/streamring/kernel/receipt/Receipt.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/Receipt.java
@@ -1,17 +1,17 @@
 package org.streamring.kernel.receipt;
 
 /**
- * A sidecar's record of one attempt. It is written before the attempt is forwarded, with the whole reservation as
- * spent, and corrected when the attempt ends.
+ * Record of one attempt kept by a sidecar. It is written before the attempt is forwarded, with the whole reservation
+ * counted as spent, and corrected when the attempt ends.
  *
  * @param attempt unique identifier of the attempt
  * @param requestKey identifier of the request, scoped to its client account
  * @param account client account
- * @param budget budget that pays
- * @param leaseId lease that pays
- * @param service service asked
- * @param reserved tokens set aside; the attempt never spends more
- * @param usage tokens used so far, or for good if it has ended
+ * @param budget budget that the tokens are charged to
+ * @param leaseId lease that the tokens are charged to
+ * @param service requested service
+ * @param reserved tokens reserved; the attempt never spends more
+ * @param usage tokens used so far, or the final usage if the attempt has ended
  * @param ended whether the attempt has ended
  */
 public record Receipt(
@@ -25,7 +25,9 @@
         Usage usage,
         boolean ended) {
 
-    /** Tokens to count: the whole reservation until the attempt has ended. */
+    /**
+     * Returns the tokens to count as spent: the whole reservation until the attempt has ended, then the actual usage.
+     */
     public long tokens() {
         return ended ? usage.tokens() : reserved;
     }
--- a/core/src/main/java/org/streamring/kernel/receipt/ReceiptBook.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/ReceiptBook.java
@@ -18,54 +18,55 @@
 import org.streamring.model.request.RefusalReason;
 
 /**
- * Decides, beside one backend server, whether an order runs, and remembers what ran.
+ * Receipt store of the sidecar of one backend server. It decides whether an order is run and keeps the receipts of the
+ * attempts that ran.
  *
- * <p>The check against fenced entries and the writing of the receipt are one step under one lock. So a closer that has
- * been answered by {@link #fence} knows every attempt that was or will be forwarded for the fenced incarnation, however
- * long this process was paused in between.
+ * <p>The check for fenced entries and the writing of the receipt are one step under one lock. So the result of
+ * {@link #fence} contains every attempt that was or will be forwarded for the fenced incarnation, even if this process
+ * was paused in between for any length of time.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Thread-safe. Its lock is a leaf lock: no other lock is acquired while it is held.
  */
 public final class ReceiptBook {
     private final ReceiptBookSettings settings;
     private final Map<String, Receipt> receipts = new HashMap<>();
-    private final Map<String, Remembered> requests = new LinkedHashMap<>();
+    private final Map<String, RequestState> requests = new LinkedHashMap<>();
     private final Set<String> fencedEntries = new HashSet<>();
     private final Set<String> barredAttempts = new HashSet<>();
     private int running;
     private long keptBytes;
     private boolean leaving;
 
-    private static final class Remembered {
+    private static final class RequestState {
         private final String attempt;
         private final String bodyHash;
         private final boolean repeatable;
-        private State state;
-        private long sinceMillis;
+        private Phase phase;
+        private long changedMillis;
         private long bytes;
 
-        private Remembered(AttemptOrder order, State state, long nowMillis) {
+        private RequestState(AttemptOrder order, Phase phase, long nowMillis) {
             this.attempt = order.attempt();
             this.bodyHash = order.bodyHash();
             this.repeatable = order.repeatable();
-            this.state = state;
-            this.sinceMillis = nowMillis;
+            this.phase = phase;
+            this.changedMillis = nowMillis;
         }
     }
 
-    private enum State {
+    private enum Phase {
         RUNNING,
         KEPT,
         RAN,
         REFUSED
     }
 
-    /** Creates an empty book. */
+    /** Creates an empty receipt store. */
     public ReceiptBook(ReceiptBookSettings settings) {
         this.settings = settings;
     }
 
-    /** Decides on an order. */
+    /** Decides whether an order is run, and if so, writes its receipt. */
     public synchronized AdmitDecision admit(AttemptOrder order, long nowMillis) {
         if (fencedEntries.contains(order.entryIncarnation()) || barredAttempts.contains(order.attempt())) {
             return new Refuse(RefusalReason.FENCED);
@@ -73,44 +74,47 @@
         if (receipts.containsKey(order.attempt())) {
             return new Refuse(RefusalReason.WRONG_INCARNATION);
         }
-        Remembered known = requests.get(order.requestKey());
-        if (known != null) {
-            return decideOnKnown(order, known);
+        RequestState recorded = requests.get(order.requestKey());
+        if (recorded != null) {
+            return decideOnRecorded(order, recorded);
         }
         if (leaving) {
             return refuse(order, RefusalReason.LEAVING, nowMillis);
         }
-        boolean full = running >= RankLimit.of(settings.maxRunning(), order.rank())
+        boolean noCapacity = running >= RankLimit.of(settings.maxRunning(), order.rank())
                 || requests.size() >= settings.maxRemembered();
-        if (full) {
+        if (noCapacity) {
             return refuse(order, RefusalReason.OVERLOAD, nowMillis);
         }
         running++;
-        requests.put(order.requestKey(), new Remembered(order, State.RUNNING, nowMillis));
-        receipts.put(order.attempt(), receiptFor(order));
+        requests.put(order.requestKey(), new RequestState(order, Phase.RUNNING, nowMillis));
+        receipts.put(order.attempt(), newReceipt(order));
         return new Run();
     }
 
-    private static AdmitDecision decideOnKnown(AttemptOrder order, Remembered known) {
-        if (!known.bodyHash.equals(order.bodyHash())) {
+    private static AdmitDecision decideOnRecorded(AttemptOrder order, RequestState recorded) {
+        if (!recorded.bodyHash.equals(order.bodyHash())) {
             return new Refuse(RefusalReason.KEY_REUSED);
         }
-        return switch (known.state) {
-            case RUNNING, KEPT -> new Attach(known.attempt);
+        return switch (recorded.phase) {
+            case RUNNING, KEPT -> new Attach(recorded.attempt);
             case RAN -> new RanBefore();
             case REFUSED -> new Refuse(RefusalReason.OVERLOAD);
         };
     }
 
-    /** Once refused, a not repeatable request is never run here: its entry may since have sent it elsewhere. */
+    /**
+     * Refuses an order. If its request is not repeatable, later orders for it are refused as well, because its entry
+     * may have sent it to another sidecar in the meantime.
+     */
     private AdmitDecision refuse(AttemptOrder order, RefusalReason reason, long nowMillis) {
         if (!order.repeatable()) {
-            requests.put(order.requestKey(), new Remembered(order, State.REFUSED, nowMillis));
+            requests.put(order.requestKey(), new RequestState(order, Phase.REFUSED, nowMillis));
         }
         return new Refuse(reason);
     }
 
-    private static Receipt receiptFor(AttemptOrder order) {
+    private static Receipt newReceipt(AttemptOrder order) {
         return new Receipt(
                 order.attempt(),
                 order.requestKey(),
@@ -124,8 +128,8 @@
     }
 
     /**
-     * Notes that a repeatable attempt broke off through no fault of its caller: nothing is charged, and the request may
-     * be asked for again.
+     * Ends a repeatable attempt that failed through no fault of its caller. No tokens are charged, and the request may
+     * run again.
      */
     public synchronized void brokeOff(AttemptOrder order, long nowMillis) {
         end(order, Usage.NONE, 0, nowMillis);
@@ -133,10 +137,10 @@
     }
 
     /**
-     * Notes that a running attempt ended.
+     * Records the end of a running attempt.
      *
-     * @param usage what it used; never counted above its reservation
-     * @param keptBytes size of its kept answer; 0 if none is kept
+     * @param usage usage of the attempt, at most its reservation
+     * @param keptBytes size of the kept answer in bytes; 0 if no answer is kept
      */
     public synchronized void end(AttemptOrder order, Usage usage, long keptBytes, long nowMillis) {
         Receipt receipt = receipts.get(order.attempt());
@@ -157,32 +161,29 @@
         if (order.reserved() > 0) {
             receipts.put(order.attempt(), ended);
         } else {
-            // Nothing is paid for it, so nobody will ask or acknowledge.
+            // No tokens are charged for this attempt, so its receipt will neither be queried nor acknowledged.
             receipts.remove(order.attempt());
         }
-        Remembered request = requests.get(order.requestKey());
+        RequestState request = requests.get(order.requestKey());
         if (request != null) {
-            remember(order, request, keptBytes, nowMillis);
+            updateRequest(order, request, keptBytes, nowMillis);
         }
     }
 
-    private void remember(AttemptOrder order, Remembered request, long bytes, long nowMillis) {
-        request.sinceMillis = nowMillis;
+    private void updateRequest(AttemptOrder order, RequestState request, long bytes, long nowMillis) {
+        request.changedMillis = nowMillis;
         if (order.keepAnswer() && bytes > 0) {
-            request.state = State.KEPT;
+            request.phase = Phase.KEPT;
             request.bytes = bytes;
             keptBytes += bytes;
         } else if (!order.repeatable() || order.keepAnswer()) {
-            request.state = State.RAN;
+            request.phase = Phase.RAN;
         } else {
             requests.remove(order.requestKey());
         }
     }
 
-    /**
-     * Takes back an admitted order that was not forwarded, for example because its backend server could not be reached
-     * at all.
-     */
+    /** Withdraws an admitted order that was not forwarded, for example because its backend server was unreachable. */
     public synchronized void notForwarded(AttemptOrder order, long nowMillis) {
         Receipt receipt = receipts.get(order.attempt());
         if (receipt == null || receipt.ended()) {
@@ -195,16 +196,16 @@
     }
 
     /**
-     * Refuses an entry's orders from now on.
+     * Refuses all further orders of an entry's incarnation.
      *
-     * @return its receipts, of running and of ended attempts
+     * @return the receipts of its running and ended attempts
      */
     public synchronized List<Receipt> fence(String entryIncarnation) {
         fencedEntries.add(entryIncarnation);
         return receiptsOf(entryIncarnation);
     }
 
-    /** Receipts for leases of an entry's incarnation. */
+    /** Returns the receipts for the leases of an entry's incarnation. */
     public synchronized List<Receipt> receiptsOf(String entryIncarnation) {
         String prefix = entryIncarnation + "/";
         return receipts.values().stream()
@@ -213,8 +214,8 @@
     }
 
     /**
-     * Receipts for single attempts. An attempt that is not known has not run here and is barred, so that an order which
-     * still lies unread in a broken connection does not run after the answer was given.
+     * Returns the receipts of single attempts. An attempt without a receipt has not run here. It is barred, so that an
+     * order that is still unread in a broken connection does not run after this answer was given.
      */
     public synchronized List<Receipt> receiptsFor(Collection<String> attempts) {
         List<Receipt> found = new ArrayList<>();
@@ -229,74 +230,75 @@
         return found;
     }
 
-    /** Forgets the receipts of leases that are settled in the table. */
+    /** Removes the receipts of ended attempts whose leases are settled in the table. */
     public synchronized void forgetLeases(Collection<String> leaseIds) {
         Set<String> settled = new HashSet<>(leaseIds);
         receipts.values().removeIf(receipt -> receipt.ended() && settled.contains(receipt.leaseId()));
     }
 
-    /** Takes no new work from now on. */
+    /** Refuses new attempts from now on, because the backend server is shutting down. */
     public synchronized void leave() {
         leaving = true;
     }
 
-    /** Takes new work again, when an operator has changed their mind. */
+    /** Accepts new attempts again after an operator has revoked the shutdown. */
     public synchronized void stay() {
         leaving = false;
     }
 
-    /** Whether no new work is taken. */
+    /** Returns whether new attempts are refused because the backend server is shutting down. */
     public synchronized boolean isLeaving() {
         return leaving;
     }
 
-    /** Attempts in progress. */
+    /** Returns the number of attempts in progress. */
     public synchronized int running() {
         return running;
     }
 
-    /** Number of receipts. */
+    /** Returns the number of receipts. */
     public synchronized int receiptCount() {
         return receipts.size();
     }
 
-    /** Attempts that may be in progress at most. */
+    /** Returns the maximum number of concurrent attempts of the most urgent rank. */
     public int capacity() {
         return settings.maxRunning();
     }
 
     /**
-     * Drops what is over its age or over the memory for kept answers, oldest first.
+     * Removes requests that have exceeded their retention period, and kept answers that exceed the memory limit, oldest
+     * first.
      *
-     * @return attempts whose kept answers are to be dropped
+     * @return attempts whose kept answers the caller has to delete
      */
     public synchronized List<String> expire(long nowMillis) {
         List<String> dropped = new ArrayList<>();
-        Iterator<Remembered> oldest = requests.values().iterator();
-        while (oldest.hasNext()) {
-            Remembered request = oldest.next();
-            if (request.state == State.RUNNING) {
+        Iterator<RequestState> oldestFirst = requests.values().iterator();
+        while (oldestFirst.hasNext()) {
+            RequestState request = oldestFirst.next();
+            if (request.phase == Phase.RUNNING) {
                 continue;
             }
-            long age = nowMillis - request.sinceMillis;
+            long age = nowMillis - request.changedMillis;
             boolean overMemory = keptBytes > settings.answerBytes();
-            if (request.state == State.KEPT
+            if (request.phase == Phase.KEPT
                     && (overMemory || age > settings.answerRetention().toMillis())) {
                 keptBytes -= request.bytes;
-                request.state = State.RAN;
+                request.phase = Phase.RAN;
                 dropped.add(request.attempt);
             }
-            boolean longAgo = age > settings.onceRetention().toMillis();
-            boolean forgettable =
+            boolean onceRetentionOver = age > settings.onceRetention().toMillis();
+            boolean answerRetentionOver =
                     request.repeatable && age > settings.answerRetention().toMillis();
-            if (request.state != State.KEPT && (longAgo || forgettable)) {
-                oldest.remove();
+            if (request.phase != Phase.KEPT && (onceRetentionOver || answerRetentionOver)) {
+                oldestFirst.remove();
             }
         }
         return dropped;
     }
 
-    /** The attempt that runs or ran a request, if it is remembered; for tests and inspection. */
+    /** Returns the receipt of an attempt, if there is one; for tests and inspection. */
     public synchronized @Nullable Receipt receipt(String attempt) {
         return receipts.get(attempt);
     }
--- a/core/src/main/java/org/streamring/kernel/receipt/ReceiptBookSettings.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/ReceiptBookSettings.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Limits of a sidecar's memory and work.
+ * Limits on the memory and the concurrent attempts of a sidecar.
  *
- * @param maxRunning most attempts in progress for the most urgent class
- * @param answerRetention how long a kept answer is held
- * @param answerBytes most bytes of kept answers
- * @param onceRetention how long it is remembered that a not repeatable request ran or was refused
- * @param maxRemembered most requests remembered
+ * @param maxRunning maximum number of concurrent attempts for the most urgent class
+ * @param answerRetention retention period of kept answers
+ * @param answerBytes maximum total size of kept answers in bytes
+ * @param onceRetention retention period of the record that a non-repeatable request ran or was refused
+ * @param maxRemembered maximum number of recorded requests
  */
 public record ReceiptBookSettings(
         int maxRunning, Duration answerRetention, long answerBytes, Duration onceRetention, int maxRemembered) {
-    /** Defaults for one backend server. */
+    /** Returns the defaults for one backend server. */
     public static ReceiptBookSettings defaults() {
         return new ReceiptBookSettings(64, Duration.ofMinutes(10), 16L << 20, Duration.ofHours(24), 200_000);
     }
--- a/core/src/main/java/org/streamring/kernel/receipt/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/package-info.java
@@ -1,4 +1,7 @@
-/** What a sidecar remembers of every attempt it was given, so that each runs once and each is counted. */
+/**
+ * Receipts of a sidecar for its attempts, which ensure that each attempt runs at most once and that its tokens are
+ * counted.
+ */
 @NullMarked
 package org.streamring.kernel.receipt;
 
--- a/core/src/test/java/org/streamring/kernel/receipt/ReceiptBookTest.java
+++ b/core/src/test/java/org/streamring/kernel/receipt/ReceiptBookTest.java
@@ -17,11 +17,11 @@
     private static final ReceiptBookSettings SETTINGS =
             new ReceiptBookSettings(20, Duration.ofMinutes(10), 1000, Duration.ofHours(24), 50);
 
-    private ReceiptBook book;
+    private ReceiptBook receipts;
 
     @BeforeMethod
     public void setUp() {
-        book = new ReceiptBook(SETTINGS);
+        receipts = new ReceiptBook(SETTINGS);
     }
 
     private static AttemptOrder order(String attempt, String request, boolean repeatable, int rank) {
@@ -40,7 +40,7 @@
                 rank);
     }
 
-    private static AttemptOrder once(String attempt, String request) {
+    private static AttemptOrder nonRepeatable(String attempt, String request) {
         return order(attempt, request, false, 0);
     }
 
@@ -50,122 +50,124 @@
 
     @Test
     public void aRetryOfARunningRequestAttaches() {
-        assertThat(book.admit(once("a1", "r"), 0)).isEqualTo(new Run());
-        assertThat(book.admit(once("a2", "r"), 0)).isEqualTo(new Attach("a1"));
-        assertThat(book.receiptsFor(List.of("a2"))).as("the retry pays nothing").isEmpty();
+        assertThat(receipts.admit(nonRepeatable("a1", "r"), 0)).isEqualTo(new Run());
+        assertThat(receipts.admit(nonRepeatable("a2", "r"), 0)).isEqualTo(new Attach("a1"));
+        assertThat(receipts.receiptsFor(List.of("a2")))
+                .as("the retry is not charged")
+                .isEmpty();
     }
 
     @Test
     public void aRetryOfAnAnsweredRequestGetsTheKeptAnswer() {
-        book.admit(once("a1", "r"), 0);
-        book.end(once("a1", "r"), Usage.flat(5), 100, 0);
-        assertThat(book.admit(once("a2", "r"), 1)).isEqualTo(new Attach("a1"));
+        receipts.admit(nonRepeatable("a1", "r"), 0);
+        receipts.end(nonRepeatable("a1", "r"), Usage.flat(5), 100, 0);
+        assertThat(receipts.admit(nonRepeatable("a2", "r"), 1)).isEqualTo(new Attach("a1"));
     }
 
     @Test
-    public void anotherBodyUnderTheSameIdentifierIsRefused() {
-        book.admit(once("a1", "r"), 0);
+    public void aRequestWithAUsedIdentifierAndAnotherBodyIsRefused() {
+        receipts.admit(nonRepeatable("a1", "r"), 0);
         AttemptOrder other = new AttemptOrder(
                 "a2", "entry~1", "r", "other", "account", "budget", "entry~1/1", "service", 100, false, true, 0);
-        assertThat(book.admit(other, 0)).isEqualTo(new Refuse(RefusalReason.KEY_REUSED));
+        assertThat(receipts.admit(other, 0)).isEqualTo(new Refuse(RefusalReason.KEY_REUSED));
     }
 
     @Test
-    public void aNotRepeatableRequestIsNotRunAgainAfterItsAnswerExpired() {
-        book.admit(once("a1", "r"), 0);
-        book.end(once("a1", "r"), Usage.flat(5), 100, 0);
+    public void aNonRepeatableRequestIsNotRunAgainAfterItsAnswerExpired() {
+        receipts.admit(nonRepeatable("a1", "r"), 0);
+        receipts.end(nonRepeatable("a1", "r"), Usage.flat(5), 100, 0);
         long later = Duration.ofHours(1).toMillis();
-        assertThat(book.expire(later)).containsExactly("a1");
-        assertThat(book.admit(once("a2", "r"), later)).isEqualTo(new RanBefore());
+        assertThat(receipts.expire(later)).containsExactly("a1");
+        assertThat(receipts.admit(nonRepeatable("a2", "r"), later)).isEqualTo(new RanBefore());
     }
 
     @Test
-    public void aRefusedNotRepeatableRequestIsNeverRunByThisIncarnation() {
-        book.leave();
-        assertThat(book.admit(once("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.LEAVING));
-        book.stay();
-        assertThat(book.admit(once("a2", "r"), 0)).isInstanceOf(Refuse.class);
+    public void aRefusedNonRepeatableRequestIsNeverRunByThisIncarnation() {
+        receipts.leave();
+        assertThat(receipts.admit(nonRepeatable("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.LEAVING));
+        receipts.stay();
+        assertThat(receipts.admit(nonRepeatable("a2", "r"), 0)).isInstanceOf(Refuse.class);
     }
 
     @Test
     public void aRefusedRepeatableRequestMayBeTriedAgain() {
-        book.leave();
-        book.admit(repeatable("a1", "r"), 0);
-        book.stay();
-        assertThat(book.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
+        receipts.leave();
+        receipts.admit(repeatable("a1", "r"), 0);
+        receipts.stay();
+        assertThat(receipts.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
     }
 
     @Test
-    public void aRepeatableRequestThatBrokeOffIsFreeAndMayRunAgain() {
-        book.admit(repeatable("a1", "r"), 0);
-        book.brokeOff(repeatable("a1", "r"), 0);
-        assertThat(book.receiptsFor(List.of("a1")).get(0).tokens()).isZero();
-        assertThat(book.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
+    public void aFailedRepeatableAttemptIsNotChargedAndMayRunAgain() {
+        receipts.admit(repeatable("a1", "r"), 0);
+        receipts.brokeOff(repeatable("a1", "r"), 0);
+        assertThat(receipts.receiptsFor(List.of("a1")).get(0).tokens()).isZero();
+        assertThat(receipts.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
     }
 
     @Test
     public void keptAnswersAreBoundedByMemory() {
         for (int i = 0; i < 5; i++) {
-            book.admit(repeatable("a" + i, "r" + i), 0);
-            book.end(repeatable("a" + i, "r" + i), Usage.flat(5), 400, 0);
+            receipts.admit(repeatable("a" + i, "r" + i), 0);
+            receipts.end(repeatable("a" + i, "r" + i), Usage.flat(5), 400, 0);
         }
-        assertThat(book.expire(1)).containsExactly("a0", "a1", "a2");
-        assertThat(book.admit(repeatable("b0", "r0"), 1)).isEqualTo(new RanBefore());
-        assertThat(book.admit(repeatable("b4", "r4"), 1)).isEqualTo(new Attach("a4"));
+        assertThat(receipts.expire(1)).containsExactly("a0", "a1", "a2");
+        assertThat(receipts.admit(repeatable("b0", "r0"), 1)).isEqualTo(new RanBefore());
+        assertThat(receipts.admit(repeatable("b4", "r4"), 1)).isEqualTo(new Attach("a4"));
     }
 
     @Test
-    public void rememberedRequestsAreBoundedByCount() {
+    public void recordedRequestsAreBoundedByCount() {
         for (int i = 0; i < 50; i++) {
-            book.admit(once("a" + i, "r" + i), 0);
-            book.end(once("a" + i, "r" + i), Usage.flat(5), 1, 0);
+            receipts.admit(nonRepeatable("a" + i, "r" + i), 0);
+            receipts.end(nonRepeatable("a" + i, "r" + i), Usage.flat(5), 1, 0);
         }
-        assertThat(book.admit(once("b", "new"), 0)).isEqualTo(new Refuse(RefusalReason.OVERLOAD));
+        assertThat(receipts.admit(nonRepeatable("b", "new"), 0)).isEqualTo(new Refuse(RefusalReason.OVERLOAD));
     }
 
     @Test
     public void theLowestClassIsRefusedFirst() {
-        int limit = RankLimit.of(book.capacity(), 9);
-        assertThat(limit).isLessThan(book.capacity());
+        int limit = RankLimit.of(receipts.capacity(), 9);
+        assertThat(limit).isLessThan(receipts.capacity());
         for (int i = 0; i < limit - 1; i++) {
-            assertThat(book.admit(order("a" + i, "r" + i, true, 0), 0)).isEqualTo(new Run());
+            assertThat(receipts.admit(order("a" + i, "r" + i, true, 0), 0)).isEqualTo(new Run());
         }
-        assertThat(book.admit(order("low", "low", true, 9), 0)).isEqualTo(new Run());
-        assertThat(book.admit(order("lower", "lower", true, 9), 0)).isEqualTo(new Refuse(RefusalReason.OVERLOAD));
-        assertThat(book.admit(order("high", "high", true, 0), 0)).isEqualTo(new Run());
+        assertThat(receipts.admit(order("low", "low", true, 9), 0)).isEqualTo(new Run());
+        assertThat(receipts.admit(order("lower", "lower", true, 9), 0)).isEqualTo(new Refuse(RefusalReason.OVERLOAD));
+        assertThat(receipts.admit(order("high", "high", true, 0), 0)).isEqualTo(new Run());
     }
 
     @Test
-    public void aReceiptCountsItsWholeReservationUntilItsEndIsKnown() {
-        book.admit(repeatable("a1", "r"), 0);
-        assertThat(book.fence("entry~1").get(0).tokens()).isEqualTo(100);
-        book.end(repeatable("a1", "r"), Usage.flat(7), 0, 0);
-        assertThat(book.fence("entry~1").get(0).tokens()).isEqualTo(7);
+    public void aReceiptCountsTheWholeReservationUntilTheAttemptEnds() {
+        receipts.admit(repeatable("a1", "r"), 0);
+        assertThat(receipts.fence("entry~1").get(0).tokens()).isEqualTo(100);
+        receipts.end(repeatable("a1", "r"), Usage.flat(7), 0, 0);
+        assertThat(receipts.fence("entry~1").get(0).tokens()).isEqualTo(7);
     }
 
     @Test
-    public void aQuestionForAnUnknownAttemptBarsIt() {
-        assertThat(book.receiptsFor(List.of("a1"))).isEmpty();
-        assertThat(book.admit(repeatable("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.FENCED));
+    public void aQueryForAnUnknownAttemptBarsIt() {
+        assertThat(receipts.receiptsFor(List.of("a1"))).isEmpty();
+        assertThat(receipts.admit(repeatable("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.FENCED));
     }
 
     @Test
-    public void settledReceiptsAreForgottenButRunningOnesAreNot() {
-        book.admit(repeatable("a1", "r1"), 0);
-        book.admit(repeatable("a2", "r2"), 0);
-        book.end(repeatable("a1", "r1"), Usage.flat(7), 0, 0);
-        book.forgetLeases(List.of("entry~1/1"));
-        assertThat(book.receiptCount()).isEqualTo(1);
+    public void receiptsOfSettledLeasesAreRemovedUnlessTheirAttemptsAreRunning() {
+        receipts.admit(repeatable("a1", "r1"), 0);
+        receipts.admit(repeatable("a2", "r2"), 0);
+        receipts.end(repeatable("a1", "r1"), Usage.flat(7), 0, 0);
+        receipts.forgetLeases(List.of("entry~1/1"));
+        assertThat(receipts.receiptCount()).isEqualTo(1);
     }
 
     @Test
     public void anOrderThatWasNotForwardedLeavesNoReceipt() {
-        book.admit(once("a1", "r"), 0);
-        book.notForwarded(once("a1", "r"), 0);
-        assertThat(book.receiptCount()).isZero();
-        assertThat(book.running()).isZero();
-        assertThat(book.admit(once("a2", "r"), 0))
-                .as("its entry may have sent it elsewhere")
+        receipts.admit(nonRepeatable("a1", "r"), 0);
+        receipts.notForwarded(nonRepeatable("a1", "r"), 0);
+        assertThat(receipts.receiptCount()).isZero();
+        assertThat(receipts.running()).isZero();
+        assertThat(receipts.admit(nonRepeatable("a2", "r"), 0))
+                .as("its entry may have sent it to another sidecar")
                 .isInstanceOf(Refuse.class);
     }
 }
