--- a/core/src/main/java/org/streamring/kernel/once/ClaimBatch.java
+++ b/core/src/main/java/org/streamring/kernel/once/ClaimBatch.java
@@ -15,33 +15,33 @@
 import org.streamring.kernel.table.TransactionResult.Rejected;
 
 /**
- * Claims committed by one transaction. If one of them is bound already, that one is answered and the others are tried
- * again without it, so that claims do not fail each other.
+ * Batch of claims that are committed in one transaction. If the request of a claim is already bound, that claim gets
+ * its result and the others are retried without it, so that one claim does not cause the others to fail.
  */
 public final class ClaimBatch {
-    private final Map<String, Claim> open = new LinkedHashMap<>();
+    private final Map<String, Claim> pending = new LinkedHashMap<>();
     private final Map<String, ClaimResult> results = new LinkedHashMap<>();
     private final String id;
     private int round;
 
     /**
-     * Starts a batch.
+     * Creates a batch.
      *
-     * @param id unique identifier
+     * @param id unique identifier of the batch
      * @param claims claims on different requests
      */
     public ClaimBatch(String id, List<Claim> claims) {
         this.id = id;
-        claims.forEach(claim -> open.put(claim.rowKey(), claim));
+        claims.forEach(claim -> pending.put(claim.rowKey(), claim));
     }
 
-    /** The transaction to apply next; empty when every claim has its result. */
+    /** Returns the transaction to apply next; empty when every claim has its result. */
     public Optional<Transaction> next() {
-        if (open.isEmpty()) {
+        if (pending.isEmpty()) {
             return Optional.empty();
         }
         List<RowOperation> operations = new ArrayList<>();
-        open.values().forEach(claim -> operations.add(operation(claim)));
+        pending.values().forEach(claim -> operations.add(operation(claim)));
         return Optional.of(new Transaction(id + "." + round, operations));
     }
 
@@ -53,7 +53,7 @@
         return new RowOperation.Update(claim.rowKey(), claim.expectedVersion(), claim.nowMillis(), text);
     }
 
-    /** Takes in the answer to the transaction of {@link #next}. */
+    /** Evaluates the result of the transaction returned by {@link #next}. */
     public void resolve(TransactionResult result) {
         round++;
         if (result instanceof Committed committed) {
@@ -61,34 +61,38 @@
             return;
         }
         for (Failure failure : ((Rejected) result).failures()) {
-            settle(failure);
+            resolveFailure(failure);
         }
     }
 
     private void grant(String key, Row row) {
-        if (open.remove(key) != null) {
+        if (pending.remove(key) != null) {
             results.put(key, new ClaimResult.Granted(row));
         }
     }
 
-    private void settle(Failure failure) {
-        Claim claim = open.remove(failure.key());
+    private void resolveFailure(Failure failure) {
+        Claim claim = pending.remove(failure.key());
         if (claim == null) {
             return;
         }
         results.put(
-                claim.rowKey(), failure.current().map(row -> bound(claim, row)).orElse(new ClaimResult.Conflict()));
+                claim.rowKey(),
+                failure.current().map(row -> resultForExistingRow(claim, row)).orElse(new ClaimResult.Conflict()));
     }
 
-    /** A row that carries the claim's own nonce was written by an earlier try whose answer was lost. */
-    private static ClaimResult bound(Claim claim, Row row) {
+    /**
+     * Returns the result for a claim whose row exists. A row with the nonce of the claim was written by an earlier
+     * transaction whose answer was lost.
+     */
+    private static ClaimResult resultForExistingRow(Claim claim, Row row) {
         ClaimRecord record = RowText.read(row.text(), ClaimRecord.class);
         return record.nonce().equals(claim.record().nonce())
                 ? new ClaimResult.Granted(row)
                 : new ClaimResult.Bound(row, record);
     }
 
-    /** The result of a claim, once there is one. */
+    /** Returns the result of a claim; empty if it has none yet. */
     public Optional<ClaimResult> result(Claim claim) {
         return Optional.ofNullable(results.get(claim.rowKey()));
     }
--- a/core/src/main/java/org/streamring/kernel/once/ClaimResult.java
+++ b/core/src/main/java/org/streamring/kernel/once/ClaimResult.java
@@ -2,23 +2,23 @@
 
 import org.streamring.kernel.table.Row;
 
-/** What became of a claim. */
+/** Result of a claim. */
 public sealed interface ClaimResult {
     /**
-     * The claim stands; the sidecar it names may be given the request.
+     * The claim was written. The request may be sent to the sidecar of the claim.
      *
-     * @param row the row
+     * @param row row of the claim
      */
     record Granted(Row row) implements ClaimResult {}
 
     /**
-     * The request is bound already.
+     * The request is already bound to a sidecar.
      *
-     * @param row the row that binds it
-     * @param record its text
+     * @param row row of the existing claim
+     * @param record contents of that row
      */
     record Bound(Row row, ClaimRecord record) implements ClaimResult {}
 
-    /** The claim row changed or vanished while it was being replaced; read and decide again. */
+    /** The claim row was changed or removed while it was being replaced. The caller has to read it again. */
     record Conflict() implements ClaimResult {}
 }
--- a/core/src/main/java/org/streamring/kernel/once/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/once/package-info.java
@@ -1,4 +1,4 @@
-/** Claims in the table on requests that run at most once. */
+/** Claims in the table, which bind requests that run at most once to a sidecar. */
 @NullMarked
 package org.streamring.kernel.once;
 
--- a/core/src/test/java/org/streamring/kernel/once/ClaimBatchTest.java
+++ b/core/src/test/java/org/streamring/kernel/once/ClaimBatchTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void ofTwoClaimsOnOneRequestTheSecondIsToldOfTheFirst() {
+    public void aSecondClaimOnARequestGetsTheRowOfTheFirst() {
         commit("b1", claim("r", "s1", "n1", 0));
         Claim late = claim("r", "s2", "n2", 0);
         ClaimResult result = commit("b2", late).result(late).orElseThrow();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void aBoundClaimDoesNotFailTheOthersOfItsBatch() {
+    public void anAlreadyBoundRequestDoesNotFailTheOtherClaimsOfItsBatch() {
         commit("b1", claim("r1", "s1", "n1", 0));
         Claim bound = claim("r1", "s2", "n2", 0);
         Claim free = claim("r2", "s2", "n3", 0);
@@ -43,14 +43,14 @@
     }
 
     @Test
-    public void aClaimWhoseAnswerWasLostIsFoundGranted() {
+    public void aClaimIsGrantedIfItsRowWasWrittenButTheAnswerWasLost() {
         Claim claim = claim("r", "s1", "n1", 0);
         commit("b1", claim);
         assertThat(commit("b1", claim).result(claim)).containsInstanceOf(ClaimResult.Granted.class);
     }
 
     @Test
-    public void onlyOneOfTwoMovesAClaimToAnotherSidecar() {
+    public void onlyOneOfTwoConcurrentClaimsMovesARequestToAnotherSidecar() {
         Claim first = claim("r", "s1", "n1", 0);
         ClaimResult.Granted granted =
                 (ClaimResult.Granted) commit("b1", first).result(first).orElseThrow();
