--- a/core/src/main/java/org/streamring/kernel/table/BoxList.java
+++ b/core/src/main/java/org/streamring/kernel/table/BoxList.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import org.streamring.model.box.BackendServer;
 
-/** The platform's list of live and leaving boxes, which lags. */
+/** The platform's list of running boxes and of boxes that are shutting down. The list may be outdated. */
 public interface BoxList {
-    /** Returns the backend servers that the platform knows. */
+    /** Returns the backend servers in the list. */
     List<BackendServer> backendServers() throws PlatformException;
 }
--- a/core/src/main/java/org/streamring/kernel/table/InMemoryTable.java
+++ b/core/src/main/java/org/streamring/kernel/table/InMemoryTable.java
@@ -16,9 +16,8 @@
 import org.streamring.kernel.table.TransactionResult.Rejected;
 
 /**
- * The table's contract in memory: what the stand-in of the platform serves and what tests use. Does not last; never
- * used
- * by the programs themselves.
+ * In-memory implementation of {@link PlatformTable} for the simulated platform and for tests. Not persistent, and not
+ * used in production.
  */
 public final class InMemoryTable implements PlatformTable {
     private final TreeMap<String, Row> rows = new TreeMap<>();
@@ -28,12 +27,12 @@
 
     @Override
     public synchronized TransactionResult transact(Transaction transaction) {
-        requireValid(transaction);
+        validate(transaction);
         transactions++;
         List<Failure> failures = new ArrayList<>();
         for (RowOperation operation : transaction.operations()) {
             @Nullable Row current = rows.get(operation.key());
-            if (!holds(operation, current)) {
+            if (!conditionHolds(operation, current)) {
                 failures.add(new Failure(operation.key(), Optional.ofNullable(current)));
             }
         }
@@ -48,7 +47,7 @@
         return new Committed(List.copyOf(written));
     }
 
-    private static void requireValid(Transaction transaction) {
+    private static void validate(Transaction transaction) {
         Set<String> keys = new HashSet<>();
         transaction.operations().forEach(operation -> keys.add(operation.key()));
         boolean valid = !keys.isEmpty()
@@ -60,7 +59,7 @@
         }
     }
 
-    private static boolean holds(RowOperation operation, @Nullable Row current) {
+    private static boolean conditionHolds(RowOperation operation, @Nullable Row current) {
         if (operation instanceof Insert) {
             return current == null;
         }
@@ -110,12 +109,12 @@
                 .toList();
     }
 
-    /** Transactions so far. */
+    /** Returns the number of transactions so far. */
     public synchronized long transactions() {
         return transactions;
     }
 
-    /** Reads and scans so far. */
+    /** Returns the number of reads and scans so far. */
     public synchronized long reads() {
         return reads;
     }
--- a/core/src/main/java/org/streamring/kernel/table/ObjectStore.java
+++ b/core/src/main/java/org/streamring/kernel/table/ObjectStore.java
@@ -5,12 +5,12 @@
 
 /** The platform's object store. */
 public interface ObjectStore {
-    /** Writes an object whole; a repeated write replaces it. */
+    /** Writes a complete object and replaces an existing one. */
     void put(String name, byte[] content) throws PlatformException;
 
-    /** Reads an object. */
+    /** Reads an object; empty if it does not exist. */
     Optional<byte[]> get(String name) throws PlatformException;
 
-    /** Lists, in order, the names with this prefix. */
+    /** Lists the names with the given prefix in order. */
     List<String> list(String prefix) throws PlatformException;
 }
--- a/core/src/main/java/org/streamring/kernel/table/PlatformException.java
+++ b/core/src/main/java/org/streamring/kernel/table/PlatformException.java
@@ -1,6 +1,6 @@
 package org.streamring.kernel.table;
 
-/** A call to a service of the platform that gave no answer; a write may have taken effect all the same. */
+/** Thrown if a call to a service of the platform gets no valid answer. A write may nevertheless have taken effect. */
 public class PlatformException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,11 +8,11 @@
     private final String peer;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param step what was being done
-     * @param peer the service that was asked
-     * @param message what went wrong
+     * @param step operation that failed
+     * @param peer service that was called
+     * @param message cause of the failure
      */
     public PlatformException(String step, String peer, String message) {
         super("%s at %s: %s".formatted(step, peer, message));
@@ -20,12 +20,12 @@
         this.peer = peer;
     }
 
-    /** What was being done. */
+    /** Returns the operation that failed. */
     public String step() {
         return step;
     }
 
-    /** The service that was asked. */
+    /** Returns the service that was called. */
     public String peer() {
         return peer;
     }
--- a/core/src/main/java/org/streamring/kernel/table/PlatformTable.java
+++ b/core/src/main/java/org/streamring/kernel/table/PlatformTable.java
@@ -7,13 +7,14 @@
     /**
      * Applies a transaction.
      *
-     * @throws PlatformException if no answer came; the transaction may have taken effect or may still do so
+     * @throws PlatformException if no valid answer was received; the transaction may have taken effect or may still
+     *     take effect
      */
     TransactionResult transact(Transaction transaction) throws PlatformException;
 
-    /** Reads rows by key in one consistent read; absent rows are left out. */
+    /** Reads rows by key in one consistent read; missing rows are left out. */
     List<Row> read(List<String> keys) throws PlatformException;
 
-    /** Reads, in key order, at most {@code limit} rows with this prefix and a key greater than {@code after}. */
+    /** Reads at most {@code limit} rows with the given prefix and a key greater than {@code after}, in key order. */
     List<Row> scan(String prefix, String after, int limit) throws PlatformException;
 }
--- a/core/src/main/java/org/streamring/kernel/table/Row.java
+++ b/core/src/main/java/org/streamring/kernel/table/Row.java
@@ -1,11 +1,11 @@
 package org.streamring.kernel.table;
 
 /**
- * One row of the platform's table.
+ * Row of the platform's table.
  *
  * @param key unique key; parts are separated by {@code /}
- * @param version changes with every write of the row and is never used twice
- * @param amount the row's number, such as a count of tokens
- * @param text the row's text, usually JSON
+ * @param version version, which changes with every write of the row and is never reused
+ * @param amount numeric value of the row, such as a number of tokens
+ * @param text text value of the row, usually JSON
  */
 public record Row(String key, long version, long amount, String text) {}
--- a/core/src/main/java/org/streamring/kernel/table/RowOperation.java
+++ b/core/src/main/java/org/streamring/kernel/table/RowOperation.java
@@ -1,16 +1,16 @@
 package org.streamring.kernel.table;
 
-/** One step of a transaction; the transaction commits only if every step's condition holds. */
+/** Operation of a transaction. The transaction is committed only if the conditions of all its operations hold. */
 public sealed interface RowOperation {
-    /** The row concerned. */
+    /** Returns the key of the row. */
     String key();
 
     /**
      * Creates a row; fails if it exists.
      *
      * @param key row key
-     * @param amount first amount
-     * @param text first text
+     * @param amount initial amount
+     * @param text initial text
      */
     record Insert(String key, long amount, String text) implements RowOperation {}
 
@@ -25,11 +25,11 @@
     record Update(String key, long expectedVersion, long amount, String text) implements RowOperation {}
 
     /**
-     * Adds to a row's amount; fails if the row is absent or the result would be below the minimum.
+     * Adds to a row's amount; fails if the row does not exist or the result would be below the minimum.
      *
      * @param key row key
-     * @param delta what to add, which may be negative
-     * @param minimum least result allowed
+     * @param delta number to add; may be negative
+     * @param minimum smallest result allowed
      */
     record Add(String key, long delta, long minimum) implements RowOperation {}
 
--- a/core/src/main/java/org/streamring/kernel/table/RowText.java
+++ b/core/src/main/java/org/streamring/kernel/table/RowText.java
@@ -6,7 +6,10 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.UncheckedIOException;
 
-/** JSON form of the records that rows and objects hold. Unknown fields are ignored, so that a newer writer is read. */
+/**
+ * JSON format of the records stored in rows and objects. Unknown fields are ignored, so that records written by a newer
+ * version can be read.
+ */
 public final class RowText {
     private static final JsonMapper MAPPER = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
@@ -16,7 +19,7 @@
 
     private RowText() {}
 
-    /** Writes a record. */
+    /** Converts a record to JSON. */
     public static String write(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
@@ -25,7 +28,7 @@
         }
     }
 
-    /** Reads a record; a text that this project did not write is an {@link UncheckedIOException}. */
+    /** Reads a record from JSON; throws an {@link UncheckedIOException} if the text is not valid. */
     public static <T> T read(String text, Class<T> type) {
         try {
             return MAPPER.readValue(text, type);
--- a/core/src/main/java/org/streamring/kernel/table/TransactionResult.java
+++ b/core/src/main/java/org/streamring/kernel/table/TransactionResult.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the table answered to a transaction. */
+/** Result of a transaction. */
 public sealed interface TransactionResult {
     /**
-     * Everything took effect.
+     * All operations took effect.
      *
-     * @param rows the rows as written; a deleted row is left out
+     * @param rows rows as written; deleted rows are left out
      */
     record Committed(List<Row> rows) implements TransactionResult {
-        /** Finds a written row. */
+        /** Returns the written row with the given key. */
         public Optional<Row> row(String key) {
             return rows.stream().filter(row -> row.key().equals(key)).findFirst();
         }
     }
 
     /**
-     * Nothing took effect.
+     * No operation took effect.
      *
-     * @param failures the operations whose condition did not hold
+     * @param failures operations whose condition did not hold
      */
     record Rejected(List<Failure> failures) implements TransactionResult {
-        /** Finds the failure on a row. */
+        /** Returns the failure for the row with the given key. */
         public Optional<Failure> on(String key) {
             return failures.stream()
                     .filter(failure -> failure.key().equals(key))
@@ -32,10 +32,10 @@
     }
 
     /**
-     * A condition that did not hold.
+     * Operation whose condition did not hold.
      *
-     * @param key row concerned
-     * @param current the row as it is; empty if absent
+     * @param key key of the row
+     * @param current current row; empty if it does not exist
      */
     record Failure(String key, Optional<Row> current) {}
 }
--- a/core/src/main/java/org/streamring/kernel/table/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/table/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's transactional table as the decisions see it: rows, operations, transactions. */
+/** Interface to the platform's transactional table: rows, operations and transactions. */
 @NullMarked
 package org.streamring.kernel.table;
 
--- a/core/src/test/java/org/streamring/kernel/table/FaultyTable.java
+++ b/core/src/test/java/org/streamring/kernel/table/FaultyTable.java
@@ -5,47 +5,47 @@
 import java.util.Deque;
 import java.util.List;
 
-/** A table whose answers can be lost, and whose writes can come late or not at all. */
+/** Table for tests that can lose answers and that can delay or lose writes. */
 public final class FaultyTable implements PlatformTable {
-    /** What happens to one transaction. */
+    /** Fault injected into one transaction. */
     public enum Fault {
-        /** It takes effect and is answered. */
+        /** The transaction takes effect and is answered. */
         NONE,
-        /** It takes effect, but the answer is lost. */
+        /** The transaction takes effect, but its answer is lost. */
         LOST_ANSWER,
-        /** It never arrives. */
+        /** The transaction never reaches the table. */
         LOST_CALL,
-        /** No answer; it takes effect when {@link #deliverLate} is called. */
+        /** The transaction is not answered and takes effect when {@link #deliverLate} is called. */
         LATE
     }
 
     private final InMemoryTable table;
-    private final Deque<Fault> script = new ArrayDeque<>();
-    private final List<Transaction> late = new ArrayList<>();
+    private final Deque<Fault> nextFaults = new ArrayDeque<>();
+    private final List<Transaction> delayed = new ArrayList<>();
 
     public FaultyTable(InMemoryTable table) {
         this.table = table;
     }
 
     public void next(Fault... faults) {
-        script.addAll(List.of(faults));
+        nextFaults.addAll(List.of(faults));
     }
 
     public void deliverLate() {
-        late.forEach(table::transact);
-        late.clear();
+        delayed.forEach(table::transact);
+        delayed.clear();
     }
 
     @Override
     public TransactionResult transact(Transaction transaction) throws PlatformException {
-        Fault fault = script.isEmpty() ? Fault.NONE : script.poll();
+        Fault fault = nextFaults.isEmpty() ? Fault.NONE : nextFaults.poll();
         if (fault == Fault.NONE) {
             return table.transact(transaction);
         }
         if (fault == Fault.LOST_ANSWER) {
             table.transact(transaction);
         } else if (fault == Fault.LATE) {
-            late.add(transaction);
+            delayed.add(transaction);
         }
         throw new PlatformException("transact", "table", fault.name());
     }
