--- a/core/src/main/java/org/streamring/kernel/store/CommitResult.java
+++ b/core/src/main/java/org/streamring/kernel/store/CommitResult.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The store's answer to a transaction.
+ * Answer of the store to a transaction.
  *
- * @param committed whether it took effect; if not, it never will
- * @param version version of the changed rows, if it took effect
- * @param storeMillis the store's steady clock at its answer
- * @param current the rows of its conditions as they stand, if it did not
+ * @param committed whether the transaction took effect; if false, it will not take effect later
+ * @param version version of the changed rows if the transaction took effect
+ * @param storeMillis time of the answer by the store's monotonic clock, in milliseconds
+ * @param current current rows of the conditions if the transaction did not take effect
  */
 public record CommitResult(boolean committed, long version, long storeMillis, List<StoredRow> current) {
-    /** Copies the list. */
+    /** Creates a result with a copy of the list. */
     public CommitResult {
         current = List.copyOf(current);
     }
--- a/core/src/main/java/org/streamring/kernel/store/RowChange.java
+++ b/core/src/main/java/org/streamring/kernel/store/RowChange.java
@@ -1,10 +1,10 @@
 package org.streamring.kernel.store;
 
 /**
- * A row to write under a condition.
+ * Conditional write of a row.
  *
- * @param key where it lies
- * @param expectedVersion version that it must have; 0 if it must not be there
- * @param value its new value
+ * @param key key of the row
+ * @param expectedVersion version that the row must have; 0 if it must not exist
+ * @param value new value of the row
  */
 public record RowChange(RowKey key, long expectedVersion, String value) {}
--- a/core/src/main/java/org/streamring/kernel/store/RowKey.java
+++ b/core/src/main/java/org/streamring/kernel/store/RowKey.java
@@ -1,10 +1,10 @@
 package org.streamring.kernel.store;
 
 /**
- * Where a row lies.
+ * Key of a row in the store.
  *
  * @param table name of the table
- * @param partition partition of the table; a transaction stays within one
+ * @param partition partition of the table; a transaction is limited to one partition
  * @param key key within the partition
  */
 public record RowKey(String table, String partition, String key) {}
--- a/core/src/main/java/org/streamring/kernel/store/RowPage.java
+++ b/core/src/main/java/org/streamring/kernel/store/RowPage.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Rows read at one moment, or changed since one.
+ * Rows read at one version of the store, or changed since one.
  *
  * @param rows the rows
- * @param version the store's newest version at that moment
- * @param storeMillis the store's steady clock at its answer
- * @param historyLost whether changes are missing, so that the rows have to be listed anew
+ * @param version latest version of the store at the time of the read
+ * @param storeMillis time of the answer by the store's monotonic clock, in milliseconds
+ * @param historyLost whether changes are missing, so that all rows have to be listed again
  */
 public record RowPage(List<StoredRow> rows, long version, long storeMillis, boolean historyLost) {
-    /** Copies the list. */
+    /** Creates a page with a copy of the list. */
     public RowPage {
         rows = List.copyOf(rows);
     }
--- a/core/src/main/java/org/streamring/kernel/store/RowStore.java
+++ b/core/src/main/java/org/streamring/kernel/store/RowStore.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's store of versioned rows. Calls return at once; futures fail with {@link StoreException}. */
+/** The platform's store of versioned rows. Calls return immediately; the futures fail with a {@link StoreException}. */
 public interface RowStore {
-    /** Changes rows of one partition together or not at all. */
+    /** Changes rows of one partition atomically. */
     CompletableFuture<CommitResult> commit(List<RowChange> changes);
 
     /** Reads all rows of a partition. */
@@ -15,8 +15,8 @@
     /**
      * Waits for changes of a table.
      *
-     * @param sinceVersion version up to which changes are known
-     * @param wait longest wait; an answer without rows comes afterwards
+     * @param sinceVersion version after which changes are returned
+     * @param wait maximum wait, after which a page without rows is returned
      */
     CompletableFuture<RowPage> watch(String table, long sinceVersion, Duration wait);
 }
--- a/core/src/main/java/org/streamring/kernel/store/StoreException.java
+++ b/core/src/main/java/org/streamring/kernel/store/StoreException.java
@@ -1,24 +1,24 @@
 package org.streamring.kernel.store;
 
-/** A call to the store failed. */
+/** Thrown if a call to the store fails. */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final boolean nothingDone;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param step what was tried, and at which peer
-     * @param reason what went wrong
-     * @param nothingDone whether the call is known to have had no effect, now and later
+     * @param step operation that failed, and the peer that was called
+     * @param reason cause of the failure
+     * @param nothingDone whether the call certainly had no effect and will not take effect later
      */
     public StoreException(String step, String reason, boolean nothingDone) {
         super(step + ": " + reason);
         this.nothingDone = nothingDone;
     }
 
-    /** Whether the call is known to have had no effect, now and later. */
+    /** Returns whether the call certainly had no effect and will not take effect later. */
     public boolean nothingDone() {
         return nothingDone;
     }
--- a/core/src/main/java/org/streamring/kernel/store/StoredRow.java
+++ b/core/src/main/java/org/streamring/kernel/store/StoredRow.java
@@ -1,11 +1,11 @@
 package org.streamring.kernel.store;
 
 /**
- * A row as the store holds it.
+ * Row as kept in the store.
  *
- * @param key where it lies
- * @param value its bytes as text; empty if it was removed
- * @param version rises with every change
- * @param removed whether it was removed
+ * @param key key of the row
+ * @param value value as text; empty if the row was removed
+ * @param version version, which increases with every change
+ * @param removed whether the row was removed
  */
 public record StoredRow(RowKey key, String value, long version, boolean removed) {}
--- a/core/src/main/java/org/streamring/kernel/store/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/store/package-info.java
@@ -1,4 +1,4 @@
-/** A store of versioned rows, and what is agreed or kept in it. */
+/** Interface to a store of versioned rows. */
 @NullMarked
 package org.streamring.kernel.store;
 
