--- a/core/src/main/java/org/streamring/kernel/config/ConfigChange.java
+++ b/core/src/main/java/org/streamring/kernel/config/ConfigChange.java
@@ -4,14 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One accepted change: the step from one version to the next and its audit record.
+ * Accepted configuration change, which leads from one version to the next and serves as its audit record.
  *
- * @param version version that it leads to
- * @param changeId identifier chosen by the operator's program
- * @param author who made it
- * @param epochMillis when, by the operator's clock
- * @param action what was done, such as {@code apply} or {@code top-up}
- * @param items items that it sets or removes
+ * @param version version of the configuration after the change
+ * @param changeId identifier chosen by the operator tool
+ * @param author operator who made the change
+ * @param epochMillis time of the change by the operator's clock
+ * @param action command that was executed, such as {@code apply} or {@code top-up}
+ * @param items items that are set or removed
  * @param grants tokens granted to budgets
  */
 public record ConfigChange(
@@ -23,7 +23,7 @@
         List<ConfigItem> items,
         List<Grant> grants) {
 
-    /** Copies the lists; an absent one is empty. */
+    /** Creates a change with copies of the lists; a missing list is treated as empty. */
     public ConfigChange(
             long version,
             String changeId,
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Tokens granted to a budget.
+     * Grant of tokens to a budget.
      *
-     * @param budget budget concerned
-     * @param tokens tokens added; negative to take back what no lease holds
+     * @param budget name of the budget
+     * @param tokens tokens added; a negative number withdraws tokens that are not in a lease
      * @param created whether the budget is new
      */
     public record Grant(String budget, long tokens, boolean created) {}
--- a/core/src/main/java/org/streamring/kernel/config/ConfigItem.java
+++ b/core/src/main/java/org/streamring/kernel/config/ConfigItem.java
@@ -3,19 +3,19 @@
 import org.streamring.kernel.table.RowKeys;
 
 /**
- * One declared item as it is stored.
+ * Declared item in its stored form.
  *
  * @param kind section of the declarations, such as {@code accounts}
- * @param name name in the section
- * @param json the item as JSON; empty when the item is removed
+ * @param name name of the item in the section
+ * @param json item as JSON; empty if the item is removed
  */
 public record ConfigItem(String kind, String name, String json) {
-    /** Whether this takes the item away. */
+    /** Returns whether the item is removed. */
     public boolean removal() {
         return json.isEmpty();
     }
 
-    /** Key of the item's row. */
+    /** Returns the key of the item's row. */
     public String rowKey() {
         return RowKeys.item(kind, name);
     }
--- a/core/src/main/java/org/streamring/kernel/config/ConfigTransactions.java
+++ b/core/src/main/java/org/streamring/kernel/config/ConfigTransactions.java
@@ -16,22 +16,23 @@
 /**
  * Builds the transaction that moves the configuration from version N to N+1.
  *
- * <p>It commits only if the version is still N, so of two racing operators one wins. A repeated transaction finds its
- * own change row, so a lost answer does not apply a change twice.
+ * <p>The transaction commits only if the version is still N, so that of two concurrent changes only one is applied. A
+ * repeated transaction fails because its change row already exists, so that a change is not applied twice after a lost
+ * answer.
  */
 public final class ConfigTransactions {
     private ConfigTransactions() {}
 
     /**
-     * Builds it.
+     * Builds the transaction.
      *
-     * @param change the change; its version is N+1
-     * @param versionRow the version row as read; its amount is N. Version 0 stands for an absent row
+     * @param change change with version N+1
+     * @param versionRow version row as read, whose amount is N; a row with version 0 stands for a missing row
      * @param currentItems rows of the items that the change replaces or removes, by key
      */
     public static Transaction build(ConfigChange change, Row versionRow, Map<String, Row> currentItems) {
         List<RowOperation> operations = new ArrayList<>();
-        operations.add(moveVersion(change, versionRow));
+        operations.add(advanceVersion(change, versionRow));
         operations.add(new Insert(RowKeys.change(change.version()), change.epochMillis(), RowText.write(change)));
         change.items().stream()
                 .map(item -> itemOperation(item, change.version(), currentItems.get(item.rowKey())))
@@ -40,7 +41,7 @@
         return new Transaction(change.changeId(), operations);
     }
 
-    private static RowOperation moveVersion(ConfigChange change, Row versionRow) {
+    private static RowOperation advanceVersion(ConfigChange change, Row versionRow) {
         if (versionRow.version() == 0) {
             return new Insert(RowKeys.CONFIG_VERSION, change.version(), change.changeId());
         }
--- a/core/src/main/java/org/streamring/kernel/config/ConfigurationHolder.java
+++ b/core/src/main/java/org/streamring/kernel/config/ConfigurationHolder.java
@@ -10,10 +10,10 @@
 import org.streamring.model.declaration.Declarations;
 
 /**
- * The configuration in force in this process. It only ever moves forward: an older version, from whichever source, is
- * ignored and counted.
+ * Holds the configuration in force in this process. The version only increases: versions that are not newer are ignored
+ * and counted, regardless of their source.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Thread-safe. Its lock is a leaf lock: no other lock is acquired while it is held.
  */
 public final class ConfigurationHolder {
     private final Map<String, ConfigItem> items = new HashMap<>();
@@ -22,17 +22,17 @@
     private long staleOffers;
 
     /**
-     * A version and what it declares.
+     * Version of the configuration and its declarations.
      *
-     * @param version version; 0 before the first is known
-     * @param declarations what is in force
+     * @param version version of the configuration; 0 before the first one is received
+     * @param declarations declarations in force
      */
     public record Configuration(long version, Declarations declarations) {}
 
-    /** Told of every step forward, outside the lock. */
+    /** Listener that is notified of each newer configuration. It is called without the lock. */
     @FunctionalInterface
     public interface Listener {
-        /** A change came into force. */
+        /** Called after a newer configuration came into force. */
         void changed(Configuration configuration, List<ConfigChange> changes);
     }
 
@@ -41,20 +41,20 @@
         listeners.add(listener);
     }
 
-    /** What is in force. */
+    /** Returns the configuration in force. */
     public Configuration current() {
         return current;
     }
 
-    /** How often an older version was offered. */
+    /** Returns the number of offered versions that were not newer than the one in force. */
     public synchronized long staleOffers() {
         return staleOffers;
     }
 
     /**
-     * Replaces everything by a full copy, if it is newer.
+     * Replaces all items with a full copy of the configuration if its version is newer.
      *
-     * @return whether it came into force
+     * @return whether the copy came into force
      */
     public boolean offerFull(long version, List<ConfigItem> full) {
         synchronized (this) {
@@ -65,14 +65,15 @@
             full.forEach(item -> items.put(item.rowKey(), item));
             current = new Configuration(version, DeclarationItems.join(items.values()));
         }
-        tell(List.of());
+        notifyListeners(List.of());
         return true;
     }
 
     /**
-     * Applies the changes that follow the version in force without a gap.
+     * Applies the changes that directly follow the version in force, up to the first missing version.
      *
-     * @return the version at which a gap was found, if one was; a full copy is needed then
+     * @return the last version before a missing one, in which case a full copy is needed; empty if no version is
+     *     missing
      */
     public Optional<Long> offerChanges(List<ConfigChange> changes) {
         List<ConfigChange> applied = new ArrayList<>();
@@ -88,7 +89,7 @@
                     gap = Optional.of(version);
                     break;
                 }
-                change.items().forEach(this::put);
+                change.items().forEach(this::putOrRemove);
                 version = change.version();
                 applied.add(change);
             }
@@ -97,7 +98,7 @@
             }
         }
         if (!applied.isEmpty()) {
-            tell(applied);
+            notifyListeners(applied);
         }
         return gap;
     }
@@ -116,7 +117,7 @@
         return false;
     }
 
-    private void put(ConfigItem item) {
+    private void putOrRemove(ConfigItem item) {
         if (item.removal()) {
             items.remove(item.rowKey());
         } else {
@@ -124,7 +125,7 @@
         }
     }
 
-    private void tell(List<ConfigChange> changes) {
+    private void notifyListeners(List<ConfigChange> changes) {
         Configuration configuration = current;
         listeners.forEach(listener -> listener.changed(configuration, changes));
     }
--- a/core/src/main/java/org/streamring/kernel/config/DeclarationDiff.java
+++ b/core/src/main/java/org/streamring/kernel/config/DeclarationDiff.java
@@ -9,26 +9,29 @@
 import org.streamring.model.declaration.Declarations;
 
 /**
- * The difference between what is in force and what an operator wants.
+ * Difference between the declarations in force and the ones that an operator wants to apply.
  *
  * @param items items to set or remove
- * @param grants tokens to grant or take back because a declared budget changed
+ * @param grants tokens to grant or withdraw because a declared budget changed
  */
 public record DeclarationDiff(List<ConfigItem> items, List<Grant> grants) {
-    /** Compares; orders to backend servers are kept as they are, since no declaration file holds them. */
+    /**
+     * Compares two sets of declarations. Orders to backend servers are not compared and stay unchanged, because they
+     * are not part of declaration files.
+     */
     public static DeclarationDiff between(Declarations current, Declarations wanted) {
-        Map<String, ConfigItem> before = new HashMap<>();
+        Map<String, ConfigItem> remaining = new HashMap<>();
         DeclarationItems.split(current).stream()
                 .filter(item -> !item.kind().equals(DeclarationItems.BACKENDS))
-                .forEach(item -> before.put(item.rowKey(), item));
+                .forEach(item -> remaining.put(item.rowKey(), item));
         List<ConfigItem> items = new ArrayList<>();
         for (ConfigItem item : DeclarationItems.split(wanted)) {
-            ConfigItem old = before.remove(item.rowKey());
+            ConfigItem old = remaining.remove(item.rowKey());
             if (!item.equals(old)) {
                 items.add(item);
             }
         }
-        before.values().forEach(item -> items.add(new ConfigItem(item.kind(), item.name(), "")));
+        remaining.values().forEach(item -> items.add(new ConfigItem(item.kind(), item.name(), "")));
         return new DeclarationDiff(List.copyOf(items), grants(current, wanted));
     }
 
@@ -45,7 +48,7 @@
         return List.copyOf(grants);
     }
 
-    /** Whether nothing differs. */
+    /** Returns whether no item differs. */
     public boolean isEmpty() {
         return items.isEmpty();
     }
--- a/core/src/main/java/org/streamring/kernel/config/DeclarationItems.java
+++ b/core/src/main/java/org/streamring/kernel/config/DeclarationItems.java
@@ -13,14 +13,14 @@
 import org.streamring.model.declaration.PriorityClass;
 import org.streamring.model.declaration.ServiceDeclaration;
 
-/** Takes declarations apart into stored items and puts them together again. */
+/** Converts declarations to stored items and back. */
 public final class DeclarationItems {
-    /** Kind of the items for orders to backend servers, which no declaration file holds. */
+    /** Kind of the items for orders to backend servers, which are not part of declaration files. */
     public static final String BACKENDS = "backends";
 
     private DeclarationItems() {}
 
-    /** Takes declarations apart, in an order in which every item comes after those that it names. */
+    /** Converts declarations to items. Each item comes after the items that it refers to. */
     public static List<ConfigItem> split(Declarations declarations) {
         return Stream.of(
                         items("budgets", declarations.budgets()),
@@ -33,7 +33,7 @@
                 .toList();
     }
 
-    /** Puts items together; an item of a kind that this version does not know is left out. */
+    /** Converts items to declarations; items of an unknown kind are left out. */
     public static Declarations join(Iterable<ConfigItem> items) {
         Declarations joined = new Declarations(null, null, null, null, null, null);
         for (ConfigItem item : items) {
@@ -51,7 +51,7 @@
             case "policies" -> put(into.policies(), item, PolicyDeclaration.class);
             case BACKENDS -> put(into.backends(), item, BackendOrder.class);
             default -> {
-                // Written by a newer version of the operator's program.
+                // Items of unknown kinds were written by a newer version of the operator tool.
             }
         }
     }
--- a/core/src/main/java/org/streamring/kernel/config/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/config/package-info.java
@@ -1,4 +1,4 @@
-/** Versions of the configuration: items, changes, differences and the copy in force. */
+/** Versions of the configuration: items, changes, differences and the configuration in force. */
 @NullMarked
 package org.streamring.kernel.config;
 
--- a/core/src/test/java/org/streamring/kernel/config/ConfigurationTest.java
+++ b/core/src/test/java/org/streamring/kernel/config/ConfigurationTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void ofTwoRacingOperatorsOneWins() {
+    public void onlyOneOfTwoConcurrentChangesIsApplied() {
         InMemoryTable table = new InMemoryTable();
         Row none = new Row(RowKeys.CONFIG_VERSION, 0, 0, "");
         assertThat(table.transact(ConfigTransactions.build(change(1, "a", rank("x", 1)), none, Map.of())))
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void changesAreAppliedInOrderAndOnlyWithoutAGap() {
+    public void changesAreAppliedInOrderUpToTheFirstMissingVersion() {
         ConfigurationHolder holder = new ConfigurationHolder();
         holder.offerFull(1, List.of());
         assertThat(holder.offerChanges(List.of(change(4, "d", rank("x", 4)), change(2, "b", rank("x", 2)))))
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void listenersSeeVersionsOnlyGrow() {
+    public void listenersAreNotifiedOfIncreasingVersionsOnly() {
         ConfigurationHolder holder = new ConfigurationHolder();
         List<Long> seen = new ArrayList<>();
         holder.listen((configuration, changes) -> seen.add(configuration.version()));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void aLargeDifferenceIsSplitSoThatEveryPartFitsOneTransaction() {
+    public void aLargeDifferenceIsSplitIntoPartsThatEachFitOneTransaction() {
         Declarations wanted = new Declarations(null, null, null, null, null, null);
         for (int i = 0; i < 60; i++) {
             wanted.budgets().put("b" + i, new BudgetDeclaration(1));
