--- a/core/src/main/java/org/streamring/model/box/package-info.java
+++ b/core/src/main/java/org/streamring/model/box/package-info.java
@@ -1,4 +1,4 @@
-/** Boxes and the backend servers on them, as the platform's box list shows them. */
+/** Boxes and their backend servers, as listed by the platform. */
 @NullMarked
 package org.streamring.model.box;
 
--- a/core/src/main/java/org/streamring/model/declaration/AccountDeclaration.java
+++ b/core/src/main/java/org/streamring/model/declaration/AccountDeclaration.java
@@ -4,14 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A client account.
+ * Declaration of a client account.
  *
- * @param budget name of the budget that pays
- * @param keySha256 lower-case hexadecimal SHA-256 of the account's key; the key itself is never kept
+ * @param budget name of the budget that tokens are charged to
+ * @param keySha256 lower-case hexadecimal SHA-256 of the account's key; the key itself is never stored
  * @param services names of the services that the account may call
  * @param priorityClass name of its default priority class
- * @param maxConcurrent most requests in progress on one entry
- * @param requestsPerSecond sustained rate on one entry
+ * @param maxConcurrent maximum number of concurrent requests on one entry
+ * @param requestsPerSecond maximum sustained request rate on one entry
  */
 public record AccountDeclaration(
         String budget,
@@ -24,7 +24,7 @@
     private static final int DEFAULT_MAX_CONCURRENT = 256;
     private static final int DEFAULT_REQUESTS_PER_SECOND = 200;
 
-    /** Fills in the documented defaults for values that were left out. */
+    /** Creates a declaration, with the documented defaults for missing values. */
     public AccountDeclaration(
             @Nullable String budget,
             @Nullable String keySha256,
--- a/core/src/main/java/org/streamring/model/declaration/BackendOrder.java
+++ b/core/src/main/java/org/streamring/model/declaration/BackendOrder.java
@@ -1,18 +1,18 @@
 package org.streamring.model.declaration;
 
 /**
- * What an operator wants of one backend server, whatever the box list says.
+ * Order of an operator to one backend server, which takes precedence over the box list.
  *
- * @param state wanted state
+ * @param state requested state
  */
 public record BackendOrder(State state) {
-    /** Wanted states. */
+    /** States that an operator can request. */
     public enum State {
-        /** Takes new work. */
+        /** The backend server accepts new attempts. */
         START,
-        /** Takes no new work; open requests finish. */
+        /** The backend server accepts no new attempts, and open requests are completed. */
         DRAIN,
-        /** Takes no new work and is taken out of every candidate list. */
+        /** The backend server accepts no new attempts and is removed from all candidate lists. */
         STOP
     }
 }
--- a/core/src/main/java/org/streamring/model/declaration/BudgetDeclaration.java
+++ b/core/src/main/java/org/streamring/model/declaration/BudgetDeclaration.java
@@ -1,7 +1,7 @@
 package org.streamring.model.declaration;
 
 /**
- * A prepaid budget as an operator declares it.
+ * Declaration of a prepaid budget.
  *
  * @param tokens total tokens granted by declaration; raising it grants the difference
  */
--- a/core/src/main/java/org/streamring/model/declaration/Declarations.java
+++ b/core/src/main/java/org/streamring/model/declaration/Declarations.java
@@ -5,14 +5,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Everything that is declared, by name.
+ * Complete set of declarations, by name.
  *
  * @param budgets prepaid budgets
  * @param accounts client accounts
  * @param classes priority classes
  * @param services services
  * @param policies policies
- * @param backends operators' orders to single backend servers
+ * @param backends orders of operators to single backend servers
  */
 public record Declarations(
         Map<String, BudgetDeclaration> budgets,
@@ -22,10 +22,10 @@
         Map<String, PolicyDeclaration> policies,
         Map<String, BackendOrder> backends) {
 
-    /** Nothing declared. */
+    /** Empty set of declarations. */
     public static final Declarations EMPTY = new Declarations(null, null, null, null, null, null);
 
-    /** Copies the maps; an absent one is empty. */
+    /** Creates a set of declarations with copies of the maps; a missing map is treated as empty. */
     public Declarations(
             @Nullable Map<String, BudgetDeclaration> budgets,
             @Nullable Map<String, AccountDeclaration> accounts,
--- a/core/src/main/java/org/streamring/model/declaration/Defaults.java
+++ b/core/src/main/java/org/streamring/model/declaration/Defaults.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Stand-ins for values that a declaration leaves out. */
+/** Default values for fields that are missing in a declaration. */
 final class Defaults {
     private Defaults() {}
 
--- a/core/src/main/java/org/streamring/model/declaration/PolicyDeclaration.java
+++ b/core/src/main/java/org/streamring/model/declaration/PolicyDeclaration.java
@@ -3,17 +3,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A policy: three short expressions over the request, the account, the budget and a candidate.
+ * Declaration of a policy, which consists of three expressions over the request, the account, the budget and a
+ * candidate.
  *
- * @param admit whether the request may run
- * @param priority rank from 0 (first) to {@value PriorityClass#LOWEST_RANK}
- * @param score cost of a candidate; the lowest wins
+ * @param admit expression for whether the request may run
+ * @param priority expression for the rank, from 0 (most urgent) to {@value PriorityClass#LOWEST_RANK}
+ * @param score expression for the cost of a candidate; the candidate with the lowest cost is chosen
  */
 public record PolicyDeclaration(String admit, String priority, String score) {
-    /** Used by services that name no policy. */
+    /** Policy of services that do not refer to a declared policy. */
     public static final PolicyDeclaration BUILT_IN = new PolicyDeclaration("", "", "");
 
-    /** Fills in empty expressions, which stand for the built-in behaviour. */
+    /** Creates a policy; a missing expression is treated as empty, which selects the built-in behaviour. */
     public PolicyDeclaration(@Nullable String admit, @Nullable String priority, @Nullable String score) {
         this.admit = Defaults.text(admit, "");
         this.priority = Defaults.text(priority, "");
--- a/core/src/main/java/org/streamring/model/declaration/PriorityClass.java
+++ b/core/src/main/java/org/streamring/model/declaration/PriorityClass.java
@@ -1,12 +1,12 @@
 package org.streamring.model.declaration;
 
 /**
- * A priority class.
+ * Declaration of a priority class.
  *
- * @param rank 0 is served first and refused last; at most {@value #LOWEST_RANK}
+ * @param rank priority rank; 0 is served first and refused last; at most {@value #LOWEST_RANK}
  */
 public record PriorityClass(int rank) {
-    /** Class used when an account names none. */
+    /** Name of the class used for accounts without a declared class. */
     public static final String DEFAULT_NAME = "normal";
     /** Rank of the class that is refused first. */
     public static final int LOWEST_RANK = 9;
--- a/core/src/main/java/org/streamring/model/declaration/ServiceDeclaration.java
+++ b/core/src/main/java/org/streamring/model/declaration/ServiceDeclaration.java
@@ -4,16 +4,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A service and how requests to it are treated.
+ * Declaration of a service and of the handling of its requests.
  *
- * @param kind model engine or plain service
- * @param models model names that callers use; for {@link ServiceKind#MODEL} only
- * @param policy name of the policy that admits and routes; empty for the built-in one
- * @param contextTokens most prompt tokens that the engine accepts
- * @param answerTokens answer limit written into requests that carry none
- * @param callTokens tokens charged per call of a plain service
+ * @param kind kind of the service: model engine or plain service
+ * @param models model names in requests; only for {@link ServiceKind#MODEL}
+ * @param policy name of the policy for admission and routing; empty for the built-in policy
+ * @param contextTokens maximum number of prompt tokens that the engine accepts
+ * @param answerTokens limit on answer tokens that is set in requests without one
+ * @param callTokens number of tokens charged per call of a plain service
  * @param notRepeatable {@code METHOD /path-prefix} patterns of calls that run at most once
- * @param claimKeyed whether repeatable requests with an idempotency key are claimed in the table as well
+ * @param claimKeyed whether repeatable requests with an idempotency key are also bound to a sidecar by a claim in the
+ *     table
  */
 public record ServiceDeclaration(
         ServiceKind kind,
@@ -28,7 +29,7 @@
     private static final int DEFAULT_CONTEXT_TOKENS = 8192;
     private static final int DEFAULT_ANSWER_TOKENS = 512;
 
-    /** Fills in the documented defaults for values that were left out. */
+    /** Creates a declaration, with the documented defaults for missing values. */
     public ServiceDeclaration(
             @Nullable ServiceKind kind,
             @Nullable List<String> models,
@@ -48,7 +49,7 @@
         this.claimKeyed = claimKeyed;
     }
 
-    /** Whether the declaration marks this call as one that runs at most once. */
+    /** Returns whether the call matches one of the patterns of calls that run at most once. */
     public boolean marksNotRepeatable(String method, String path) {
         String call = method + " " + path;
         return notRepeatable.stream().anyMatch(call::startsWith);
--- a/core/src/main/java/org/streamring/model/declaration/ServiceKind.java
+++ b/core/src/main/java/org/streamring/model/declaration/ServiceKind.java
@@ -1,9 +1,9 @@
 package org.streamring.model.declaration;
 
-/** What stands behind a service. */
+/** Kind of a service. */
 public enum ServiceKind {
-    /** A model engine that speaks the OpenAI-compatible protocol. */
+    /** Model engine with the OpenAI-compatible protocol. */
     MODEL,
-    /** An ordinary HTTP service. */
+    /** Ordinary HTTP service. */
     PLAIN
 }
--- a/core/src/main/java/org/streamring/model/declaration/package-info.java
+++ b/core/src/main/java/org/streamring/model/declaration/package-info.java
@@ -1,4 +1,4 @@
-/** What operators declare: budgets, client accounts, priority classes, services and policies. */
+/** Declarations of operators: budgets, client accounts, priority classes, services and policies. */
 @NullMarked
 package org.streamring.model.declaration;
 
--- a/core/src/main/java/org/streamring/model/request/Outcome.java
+++ b/core/src/main/java/org/streamring/model/request/Outcome.java
@@ -1,12 +1,12 @@
 package org.streamring.model.request;
 
-/** What a final answer says about the request. */
+/** Outcome of a request, as stated in its final answer. */
 public enum Outcome {
-    /** The whole answer of the backend server was delivered. */
+    /** The complete answer of the backend server was delivered. */
     ANSWERED("answered"),
-    /** No backend server was given the request, and none will be. */
+    /** The request was not run by any backend server and will not be run later. */
     NOT_RUN("not-run"),
-    /** The request may have run, in part or whole. */
+    /** The request may have run partly or completely. */
     UNKNOWN("unknown");
 
     private final String text;
@@ -15,7 +15,7 @@
         this.text = text;
     }
 
-    /** The form used in headers and stream events. */
+    /** Returns the name used in headers and stream events. */
     public String text() {
         return text;
     }
--- a/core/src/main/java/org/streamring/model/request/RefusalReason.java
+++ b/core/src/main/java/org/streamring/model/request/RefusalReason.java
@@ -1,6 +1,6 @@
 package org.streamring.model.request;
 
-/** Why a request was refused before it ran, at the step where it happened. */
+/** Reason why a request was refused before it ran, with the processing step that refused it. */
 public enum RefusalReason {
     BAD_REQUEST(400, "parse", false),
     UNKNOWN_KEY(401, "authenticate", false),
@@ -33,17 +33,17 @@
         this.retryHelps = retryHelps;
     }
 
-    /** HTTP status of the final answer. */
+    /** Returns the HTTP status of the final answer. */
     public int status() {
         return status;
     }
 
-    /** Name of the step that refused. */
+    /** Returns the name of the processing step that refused the request. */
     public String step() {
         return step;
     }
 
-    /** Whether asking again later can succeed. */
+    /** Returns whether a later retry can succeed. */
     public boolean retryHelps() {
         return retryHelps;
     }
--- a/core/src/main/java/org/streamring/model/request/package-info.java
+++ b/core/src/main/java/org/streamring/model/request/package-info.java
@@ -1,4 +1,4 @@
-/** What callers are told about a request. */
+/** Outcomes and refusals of requests, as reported to callers. */
 @NullMarked
 package org.streamring.model.request;
 
--- a/core/src/main/java/org/streamring/model/route/PrepaidAccount.java
+++ b/core/src/main/java/org/streamring/model/route/PrepaidAccount.java
@@ -5,15 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * A client account of a routed deployment.
+ * Client account in the routing configuration of a deployment.
  *
  * @param name name of the account
- * @param keys keys in force
- * @param priority rank that replaces the route's
- * @param prepaid tokens that the account may use in all; empty if it has no such limit
+ * @param keys valid API keys
+ * @param priority priority rank that overrides the rank of the route; empty if the rank of the route applies
+ * @param prepaid total number of tokens that the account may use; empty if it is unlimited
  */
 public record PrepaidAccount(String name, List<String> keys, OptionalInt priority, OptionalLong prepaid) {
-    /** Copies the list. */
+    /** Creates an account with a copy of the list. */
     public PrepaidAccount {
         keys = List.copyOf(keys);
     }
--- a/core/src/main/java/org/streamring/model/route/Route.java
+++ b/core/src/main/java/org/streamring/model/route/Route.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * Where requests for a host and a path go, and how.
+ * Route for the requests to a host and a path.
  *
  * @param name name of the route
- * @param host host that callers name, in lower case
- * @param pathPrefix beginning of the path, with a slash at both ends
- * @param kind what a request may do twice
- * @param resumable whether a broken stream may be continued by another replica
- * @param isPublic whether requests carry no key
- * @param priority rank of its requests, 0 being the most urgent
- * @param maxAttempts most replicas that one request may be sent to
- * @param timeout longest time that a request is held
+ * @param host host name in the requests, in lower case
+ * @param pathPrefix path prefix, which starts and ends with a slash
+ * @param kind kind of the route, which determines whether a request may run more than once
+ * @param resumable whether another replica may continue a broken stream
+ * @param isPublic whether requests need no API key
+ * @param priority priority rank of the requests; 0 is the most urgent
+ * @param maxAttempts maximum number of replicas that one request may be sent to
+ * @param timeout maximum time for handling a request; a deadline from the caller can only shorten it
  * @param targetLatency time within which an answer is expected
- * @param targetPause longest pause between two events of a stream that is still in time
- * @param targets services, at least one
+ * @param targetPause maximum pause between two events of a stream for the stream to count as in time
+ * @param targets services that requests are sent to, at least one
  */
 public record Route(
         String name,
@@ -32,17 +32,17 @@
         Duration targetLatency,
         Duration targetPause,
         List<RouteTarget> targets) {
-    /** Copies the list. */
+    /** Creates a route with a copy of the list. */
     public Route {
         targets = List.copyOf(targets);
     }
 
-    /** Whether a request that may have run may be sent again. */
+    /** Returns whether a request that may have run may be sent again. */
     public boolean repeatable() {
         return kind == RouteKind.REPEATABLE || (kind == RouteKind.STREAM && resumable);
     }
 
-    /** Whether answers are series of events. */
+    /** Returns whether the answers are event streams. */
     public boolean stream() {
         return kind == RouteKind.STREAM;
     }
--- a/core/src/main/java/org/streamring/model/route/RouteKind.java
+++ b/core/src/main/java/org/streamring/model/route/RouteKind.java
@@ -1,11 +1,11 @@
 package org.streamring.model.route;
 
-/** What a request on a route may do twice. */
+/** Kind of a route, which determines whether its requests may run more than once. */
 public enum RouteKind {
-    /** May run more than once. */
+    /** Requests may run more than once. */
     REPEATABLE,
-    /** Runs at most once for each call. */
+    /** Requests run at most once per call. */
     NOT_REPEATABLE,
-    /** A series of events; runs at most once unless the route is resumable. */
+    /** Answers are event streams. Requests run at most once unless the route is resumable. */
     STREAM
 }
--- a/core/src/main/java/org/streamring/model/route/RoutingConfiguration.java
+++ b/core/src/main/java/org/streamring/model/route/RoutingConfiguration.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * One version of the operator's configuration, in full.
+ * Complete version of the operator's configuration.
  *
- * @param version rises from one configuration to the next
- * @param routes routes
- * @param services services
- * @param accounts client accounts; empty if no route asks for a key
- * @param limits what callers may send
+ * @param version version, which increases with every configuration
+ * @param routes routes of the deployment
+ * @param services properties of the services
+ * @param accounts client accounts; empty if no route requires a key
+ * @param limits limits on requests and connections of callers
  */
 public record RoutingConfiguration(
         long version,
@@ -17,7 +17,7 @@
         List<ServiceTraits> services,
         List<PrepaidAccount> accounts,
         CallerLimits limits) {
-    /** Copies the lists. */
+    /** Creates a configuration with copies of the lists. */
     public RoutingConfiguration {
         routes = List.copyOf(routes);
         services = List.copyOf(services);
--- a/core/src/main/java/org/streamring/model/route/ServiceTraits.java
+++ b/core/src/main/java/org/streamring/model/route/ServiceTraits.java
@@ -1,17 +1,18 @@
 package org.streamring.model.route;
 
 /**
- * What is known of a service's replicas.
+ * Properties that all replicas of a service have in common.
  *
  * @param name name of the service
- * @param maxConnections connections that one replica accepts from all callers together
- * @param tokensPerEvent most tokens in one event of a stream; 0 for a plain service
- * @param memoryTokens tokens that one replica's memory holds; 0 for a plain service
- * @param coldPerSecond requests a second that a cold replica bears from all entries together; 0 for any number
+ * @param maxConnections maximum number of connections that one replica accepts from all clients together
+ * @param tokensPerEvent maximum number of tokens in one event of a stream; 0 for a plain service
+ * @param memoryTokens number of tokens that fit into the memory of one replica; 0 for a plain service
+ * @param coldPerSecond maximum rate of requests per second that a cold replica can handle from all entries together; 0
+ *     for no limit
  */
 public record ServiceTraits(
         String name, int maxConnections, int tokensPerEvent, long memoryTokens, double coldPerSecond) {
-    /** Whether the replicas are model engines. */
+    /** Returns whether the replicas are model engines. */
     public boolean isEngine() {
         return tokensPerEvent > 0;
     }
--- a/core/src/main/java/org/streamring/model/route/package-info.java
+++ b/core/src/main/java/org/streamring/model/route/package-info.java
@@ -1,4 +1,4 @@
-/** Routes, services, client accounts and limits that a deployment's operator declares as a whole. */
+/** Routing configuration of a deployment: routes, services, client accounts and limits. */
 @NullMarked
 package org.streamring.model.route;
 
