--- a/core/src/main/java/org/streamring/kernel/permit/LimitEvents.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitEvents.java
@@ -1,26 +1,26 @@
 package org.streamring.kernel.permit;
 
-/** Hears when what is believed of a backend server's limit changes. */
+/** Receives changes in the recorded rate limits of backend servers. */
 public interface LimitEvents {
     /**
-     * A server names a limit that it did not name before.
+     * Called when a server announces a limit that differs from its last recorded one.
      *
-     * @param perSecond requests a second of all entries together
-     * @param byEntry the entry that told it; empty after an answer of the server
+     * @param perSecond requests per second, of all entries together
+     * @param byEntry entry that reported the limit; empty if an answer of the server announced it
      */
     void limited(String incarnation, double perSecond, String byEntry);
 
     /**
-     * A server answers without naming a limit, after it named one.
+     * Called when a server that announced a limit answers without one.
      *
      * @param sentAgeMillis time since that answer's request was sent
      */
     void unlimited(String incarnation, long sentAgeMillis);
 
     /**
-     * A server names something that is no limit.
+     * Called when a server sends a limit that cannot be parsed.
      *
-     * @param first whether it is the first time
+     * @param first whether it is the first such answer of the server
      */
     void unreadable(String incarnation, boolean first);
 }
--- a/core/src/main/java/org/streamring/kernel/permit/LimitNews.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitNews.java
@@ -1,20 +1,20 @@
 package org.streamring.kernel.permit;
 
 /**
- * What an entry heard of a server's limit.
+ * Update on the limit of a backend server, sent between entries.
  *
- * @param incarnation the server
- * @param perSecond requests a second; infinite if it names no limit any more
- * @param sentAgeMillis time since the newest request was sent whose answer said so
- * @param heardAgeMillis time since such an answer was heard last
+ * @param incarnation incarnation of the server
+ * @param perSecond requests per second; infinite if the server no longer announces a limit
+ * @param sentAgeMillis time since the newest request was sent whose answer carried this limit
+ * @param heardAgeMillis time since such an answer was last received
  */
 public record LimitNews(String incarnation, double perSecond, long sentAgeMillis, long heardAgeMillis) {
-    /** Whether it is a limit, or the end of one. */
+    /** Returns whether the values are valid, for a limit or for the end of one. */
     public boolean isReadable() {
         return perSecond >= 0 && sentAgeMillis >= 0 && heardAgeMillis >= 0;
     }
 
-    /** It as of a moment of the receiver's clock; what was late on its way seems newer by that. */
+    /** Converts the ages to times of the receiver's clock; an update delayed on its way appears newer by that delay. */
     NamedLimit asOf(long nowMillis) {
         return new NamedLimit(perSecond, nowMillis - sentAgeMillis, nowMillis - heardAgeMillis);
     }
--- a/core/src/main/java/org/streamring/kernel/permit/LimitWord.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitWord.java
@@ -1,29 +1,29 @@
 package org.streamring.kernel.permit;
 
 /**
- * What one answer of a backend server says of the requests that it takes from all entries together.
+ * Limit notice in one answer of a backend server: the request rate that it accepts from all entries together.
  *
- * @param kind whether it says anything
- * @param perSecond requests a second; 0 unless a limit is named
+ * @param kind whether the answer announces a limit
+ * @param perSecond requests per second; 0 unless a limit is announced
  */
 public record LimitWord(Kind kind, double perSecond) {
-    /** Whether an answer names a limit. */
+    /** Whether an answer announces a limit. */
     public enum Kind {
-        /** It names one. */
+        /** The answer announces a limit. */
         NAMED,
-        /** It names none. */
+        /** The answer announces no limit. */
         NONE,
-        /** It names something that is no limit, which changes nothing. */
+        /** The limit in the answer cannot be parsed; the recorded limit stays in force. */
         UNREADABLE
     }
 
-    /** It says nothing of a limit. */
+    /** Notice of an answer without a limit. */
     public static final LimitWord NONE = new LimitWord(Kind.NONE, 0);
 
-    /** It says something that can't be read. */
+    /** Notice of an answer whose limit cannot be parsed. */
     public static final LimitWord UNREADABLE = new LimitWord(Kind.UNREADABLE, 0);
 
-    /** It names a limit. */
+    /** Creates the notice of an answer that announces a limit. */
     public static LimitWord named(double perSecond) {
         return new LimitWord(Kind.NAMED, perSecond);
     }
--- a/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
@@ -12,59 +12,64 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Backend servers that name a limit for all entries together, and the permits that this entry has for them.
+ * Backend servers that announce a limit for all entries together, and the permits that this entry holds for them.
  *
- * <p>No request goes to such a server without a permit of the limit's owner ({@link PermitIssuer}). Kept by
- * incarnation. Confined to one thread.
+ * <p>No request is sent to such a server without a permit from the owner of its limit ({@link PermitIssuer}). State is
+ * kept per incarnation. Confined to one thread.
  */
 public final class LimitedBackends {
-    /** No fleet sends one server as much, so that asking for permits would only cost time. */
-    static final double LEAST_UNLIMITED_PER_SECOND = 10_000;
+    /**
+     * Rate from which a limit is ignored: no fleet sends that much to one server, so permits would only add latency.
+     */
+    static final double MIN_UNLIMITED_PER_SECOND = 10_000;
 
-    /** Permits not used by then are void: a request that waits for one uses it within one look, 15 ms. */
-    static final long USE_MILLIS = 300;
+    /** Time after which an unused permit expires; a waiting request checks for permits every 15 ms. */
+    static final long PERMIT_EXPIRY_MILLIS = 300;
 
-    /** Of a request that was placed with a permit: connecting takes up to 500 ms. */
-    static final long SEND_MILLIS = USE_MILLIS + 500;
+    /** Time within which a request placed with a permit must be sent; connecting takes up to 500 ms. */
+    static final long SENDING_EXPIRY_MILLIS = PERMIT_EXPIRY_MILLIS + 500;
 
-    /** An answer of the owner is expected within one way there and back between boxes. */
-    static final long ANSWER_MILLIS = 20;
+    /** Expected time until the owner answers, one round trip between boxes. */
+    static final long EXPECTED_ANSWER_MILLIS = 20;
 
-    /** Where no owner answers, or can be reached, the next question is due after this time. */
-    static final long ASK_AGAIN_MILLIS = 250;
+    /** Time until the next permit request if no owner answers or can be reached. */
+    static final long RETRY_MILLIS = 250;
 
-    /** A server with a permit that got nothing for so long is tried next, as only its answers tell of an end. */
-    static final long TRY_MILLIS = 2_000;
+    /**
+     * Time without a request after which a server with a permit is used next: only its answers show that a limit ended.
+     */
+    static final long PROBE_AFTER_MILLIS = 2_000;
 
-    private static final int MOST_WANTED = 64;
-    private static final long KEEP_MILLIS = 60_000;
+    private static final int MAX_PERMITS = 64;
+    private static final long RETENTION_MILLIS = 60_000;
 
     private final LimitEvents events;
-    private final Consumer<PermitAsk> asker;
+    private final Consumer<PermitAsk> requestSender;
     private final Map<String, Limited> limited = new HashMap<>();
     private final Set<String> unreadable = new HashSet<>();
 
-    /** One server that names a limit. */
+    /** State of one server that announces a limit. */
     private static final class Limited {
         private @Nullable NamedLimit named;
-        private long loweredMillis;
-        private long usedMillis;
+        private long limitLoweredMillis;
+        private long lastPlacedMillis;
         private final Deque<Permit> permits = new ArrayDeque<>();
         private @Nullable Long askedMillis;
-        private long askAgainMillis;
+        private long nextRequestMillis;
         private int wanted;
 
-        private NamedLimit named() {
+        private NamedLimit limit() {
             return Objects.requireNonNull(named);
         }
 
-        /** Permits of a larger limit are void. */
+        /** Returns whether a permit is valid; a permit requested before the limit was lowered is not. */
         private boolean allows(Permit permit, long nowMillis) {
-            return nowMillis - permit.askedMillis() <= SEND_MILLIS && permit.askedMillis() >= loweredMillis;
+            return nowMillis - permit.askedMillis() <= SENDING_EXPIRY_MILLIS
+                    && permit.askedMillis() >= limitLoweredMillis;
         }
 
-        private @Nullable Permit first(long nowMillis) {
-            while (!permits.isEmpty() && nowMillis - permits.getFirst().askedMillis() > USE_MILLIS) {
+        private @Nullable Permit firstUsable(long nowMillis) {
+            while (!permits.isEmpty() && nowMillis - permits.getFirst().askedMillis() > PERMIT_EXPIRY_MILLIS) {
                 permits.removeFirst();
             }
             return permits.peekFirst();
@@ -72,171 +77,195 @@
     }
 
     /**
-     * Creates one that knows of no limit.
+     * Creates an instance without recorded limits.
      *
-     * @param asker asks for permits; answers come by {@link #granted} or {@link #unanswered}, also before it returns
+     * @param requestSender sends permit requests; they are answered by {@link #granted} or {@link #requestFailed},
+     *     possibly before it returns
      */
-    public LimitedBackends(LimitEvents events, Consumer<PermitAsk> asker) {
+    public LimitedBackends(LimitEvents events, Consumer<PermitAsk> requestSender) {
         this.events = events;
-        this.asker = asker;
+        this.requestSender = requestSender;
     }
 
     /**
-     * Takes what an answer says. Answers overtake each other, so a smaller limit counts at once; a larger one, or none,
-     * counts only if its request was sent after the smaller one was heard.
+     * Records the limit notice of an answer. Answers may arrive out of order, so a smaller limit applies at once; a
+     * larger limit, or none, applies only if its request was sent after the smaller one was received.
      *
-     * @param sentMillis when the answer's request was sent; 0 if that is not known
+     * @param sentMillis when the request was sent to the server; 0 if not known
      */
-    public void answered(String incarnation, LimitWord word, long sentMillis, long nowMillis) {
-        if (word.kind() == LimitWord.Kind.UNREADABLE) {
+    public void answered(String incarnation, LimitWord notice, long sentMillis, long nowMillis) {
+        if (notice.kind() == LimitWord.Kind.UNREADABLE) {
             events.unreadable(incarnation, unreadable.add(incarnation));
-        } else if (word.perSecond() < LEAST_UNLIMITED_PER_SECOND && word.kind() == LimitWord.Kind.NAMED) {
-            named(incarnation, new NamedLimit(word.perSecond(), sentMillis, nowMillis), "");
+        } else if (notice.perSecond() < MIN_UNLIMITED_PER_SECOND && notice.kind() == LimitWord.Kind.NAMED) {
+            recordLimit(incarnation, new NamedLimit(notice.perSecond(), sentMillis, nowMillis), "");
         } else {
-            notNamed(incarnation, sentMillis, nowMillis);
+            endLimit(incarnation, sentMillis, nowMillis);
         }
     }
 
-    /** Takes what another entry heard from a server of which this one knows no limit. */
-    public void told(LimitNews news, String byEntry, long nowMillis) {
-        if (news.perSecond() != NamedLimit.UNLIMITED && !limited.containsKey(news.incarnation())) {
-            long sentMillis = nowMillis - news.sentAgeMillis();
-            named(news.incarnation(), new NamedLimit(news.perSecond(), sentMillis, nowMillis), byEntry);
+    /** Records a limit reported by another entry, if this entry has recorded none for the server. */
+    public void recordReported(LimitNews update, String byEntry, long nowMillis) {
+        if (update.perSecond() != NamedLimit.UNLIMITED && !limited.containsKey(update.incarnation())) {
+            long sentMillis = nowMillis - update.sentAgeMillis();
+            recordLimit(update.incarnation(), new NamedLimit(update.perSecond(), sentMillis, nowMillis), byEntry);
         }
     }
 
-    private void named(String incarnation, NamedLimit word, String byEntry) {
-        Limited known = limited.computeIfAbsent(incarnation, key -> new Limited());
-        Optional<NamedLimit> before = Optional.ofNullable(known.named);
-        NamedLimit after = before.map(older -> older.followedBy(word)).orElse(word);
-        known.named = after;
+    private void recordLimit(String incarnation, NamedLimit notice, String byEntry) {
+        Limited state = limited.computeIfAbsent(incarnation, key -> new Limited());
+        Optional<NamedLimit> before = Optional.ofNullable(state.named);
+        NamedLimit after = before.map(older -> older.combinedWith(notice)).orElse(notice);
+        state.named = after;
         if (before.isPresent() && after.perSecond() < before.get().perSecond()) {
-            known.permits.clear();
-            known.loweredMillis = word.heardMillis();
+            state.permits.clear();
+            state.limitLoweredMillis = notice.heardMillis();
         }
         if (before.isEmpty() || before.get().perSecond() != after.perSecond()) {
             events.limited(incarnation, after.perSecond(), byEntry);
         }
     }
 
-    private void notNamed(String incarnation, long sentMillis, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        if (known != null && sentMillis > known.named().heardMillis()) {
+    private void endLimit(String incarnation, long sentMillis, long nowMillis) {
+        Limited state = limited.get(incarnation);
+        if (state != null && sentMillis > state.limit().heardMillis()) {
             limited.remove(incarnation);
             events.unlimited(incarnation, nowMillis - sentMillis);
         }
     }
 
-    /** Whether a server names a limit. */
+    /** Returns whether a server announces a limit. */
     public boolean isLimited(String incarnation) {
         return limited.containsKey(incarnation);
     }
 
-    /** Servers that name a limit. */
+    /** Returns the number of servers that announce a limit. */
     public int count() {
         return limited.size();
     }
 
-    /** Whether a request may be placed at a server now: it names no limit, or a permit is at hand. */
+    /** Returns whether a request may be placed at a server now: it announces no limit, or a permit is available. */
     public boolean takes(String incarnation, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        return known == null || known.first(nowMillis) != null;
+        Limited state = limited.get(incarnation);
+        return state == null || state.firstUsable(nowMillis) != null;
     }
 
-    /** Whether a server with a permit at hand got nothing from this entry for so long that it should be tried. */
+    /**
+     * Returns whether a server with an available permit has received no request from this entry for so long that it
+     * should be used next.
+     */
     public boolean isDue(String incarnation, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        return known != null && known.first(nowMillis) != null && nowMillis - known.usedMillis >= TRY_MILLIS;
+        Limited state = limited.get(incarnation);
+        return state != null
+                && state.firstUsable(nowMillis) != null
+                && nowMillis - state.lastPlacedMillis >= PROBE_AFTER_MILLIS;
     }
 
-    /** Notes that a request could use a server; asks for a permit if none is at hand and it is time to. */
+    /**
+     * Records that a request could be sent to a server; requests a permit if none is available and a request is due.
+     */
     public void wanted(String incarnation, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        if (known == null || known.first(nowMillis) != null) {
+        Limited state = limited.get(incarnation);
+        if (state == null || state.firstUsable(nowMillis) != null) {
             return;
         }
-        known.wanted = Math.min(MOST_WANTED, known.wanted + 1);
-        if (known.askedMillis != null || nowMillis < known.askAgainMillis) {
+        state.wanted = Math.min(MAX_PERMITS, state.wanted + 1);
+        if (state.askedMillis != null || nowMillis < state.nextRequestMillis) {
             return;
         }
-        known.askedMillis = nowMillis;
-        int wanted = known.wanted;
-        known.wanted = 0;
-        asker.accept(new PermitAsk(news(incarnation, known.named(), nowMillis), wanted));
+        state.askedMillis = nowMillis;
+        int wanted = state.wanted;
+        state.wanted = 0;
+        requestSender.accept(new PermitAsk(toUpdate(incarnation, state.limit(), nowMillis), wanted));
     }
 
-    /** What other entries should know of a server's limit; empty if it names none. */
-    Optional<LimitNews> news(String incarnation, long nowMillis) {
-        return Optional.ofNullable(limited.get(incarnation)).map(known -> news(incarnation, known.named(), nowMillis));
+    /** Returns the limit update for other entries; empty if the server announces no limit. */
+    Optional<LimitNews> update(String incarnation, long nowMillis) {
+        return Optional.ofNullable(limited.get(incarnation))
+                .map(state -> toUpdate(incarnation, state.limit(), nowMillis));
     }
 
-    private static LimitNews news(String incarnation, NamedLimit named, long nowMillis) {
+    private static LimitNews toUpdate(String incarnation, NamedLimit named, long nowMillis) {
         return new LimitNews(
                 incarnation, named.perSecond(), nowMillis - named.sentMillis(), nowMillis - named.heardMillis());
     }
 
-    /** Takes the owner's answer to the question of a moment; one that comes late grants nothing. */
+    /**
+     * Accepts the owner's answer to a permit request. Permits expire a fixed time after the request, so a late answer
+     * adds none.
+     *
+     * @param askedMillis when the permits were requested
+     */
     public void granted(String incarnation, long askedMillis, PermitGrant grant, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        if (known == null) {
+        Limited state = limited.get(incarnation);
+        if (state == null) {
             return;
         }
-        for (int i = 0; i < Math.min(MOST_WANTED, grant.count()); i++) {
-            known.permits.addLast(new Permit(incarnation, askedMillis));
+        for (int i = 0; i < Math.min(MAX_PERMITS, grant.count()); i++) {
+            state.permits.addLast(new Permit(incarnation, askedMillis));
         }
-        if (known.askedMillis != null && known.askedMillis == askedMillis) {
-            known.askedMillis = null;
-            known.askAgainMillis = nowMillis + grant.waitMillis();
+        if (state.askedMillis != null && state.askedMillis == askedMillis) {
+            state.askedMillis = null;
+            state.nextRequestMillis = nowMillis + grant.waitMillis();
         }
     }
 
-    /** Notes that no owner answers the question of a moment. */
-    public void unanswered(String incarnation, long askedMillis, long nowMillis) {
-        granted(incarnation, askedMillis, PermitGrant.none(ASK_AGAIN_MILLIS), nowMillis);
+    /** Records that no owner answers the permit request sent at the given time. */
+    public void requestFailed(String incarnation, long askedMillis, long nowMillis) {
+        granted(incarnation, askedMillis, PermitGrant.none(RETRY_MILLIS), nowMillis);
     }
 
-    /** Takes a permit for a request that is placed at a server; empty if it names no limit. */
+    /** Takes a permit for a request that is placed at a server; empty if the server announces no limit. */
     public Optional<Permit> place(String incarnation, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        if (known == null) {
+        Limited state = limited.get(incarnation);
+        if (state == null) {
             return Optional.empty();
         }
-        known.usedMillis = nowMillis;
-        Permit permit = known.first(nowMillis);
-        known.permits.pollFirst();
+        state.lastPlacedMillis = nowMillis;
+        Permit permit = state.firstUsable(nowMillis);
+        state.permits.pollFirst();
         return Optional.ofNullable(permit);
     }
 
-    /** Whether a request that was placed at a server may be sent to it, asked just before that. */
+    /**
+     * Returns whether a request that was placed at a server may be sent to it now; to be called just before sending.
+     */
     public boolean mayBeSent(String incarnation, Optional<Permit> permit, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        return known == null
-                || permit.filter(each -> known.allows(each, nowMillis)).isPresent();
+        Limited state = limited.get(incarnation);
+        return state == null
+                || permit.filter(each -> state.allows(each, nowMillis)).isPresent();
     }
 
-    /** Takes back the permit of a request that was not sent. */
+    /** Returns the permit of a request that was not sent to the pool of unused permits. */
     public void notSent(Permit permit) {
-        Limited known = limited.get(permit.incarnation());
-        if (known != null) {
-            known.permits.addFirst(permit);
+        Limited state = limited.get(permit.incarnation());
+        if (state != null) {
+            state.permits.addFirst(permit);
         }
     }
 
-    /** Time until a request may be placed at a server, by what the owner said, in milliseconds; 0 if it may now. */
+    /**
+     * Returns the time until a request may be placed at a server, by the owner's last answer, in milliseconds; 0 if it
+     * may be placed now.
+     */
     public long turnMillis(String incarnation, long nowMillis) {
-        Limited known = limited.get(incarnation);
-        if (known == null || known.first(nowMillis) != null) {
+        Limited state = limited.get(incarnation);
+        if (state == null || state.firstUsable(nowMillis) != null) {
             return 0;
         }
-        long turn = known.askedMillis == null ? known.askAgainMillis : known.askedMillis + ANSWER_MILLIS;
-        return Math.max(1, turn - nowMillis);
+        long nextMillis =
+                state.askedMillis == null ? state.nextRequestMillis : state.askedMillis + EXPECTED_ANSWER_MILLIS;
+        return Math.max(1, nextMillis - nowMillis);
     }
 
-    /** Forgets servers that are no longer known and have said nothing for long. */
+    /**
+     * Removes servers that are no longer listed and have announced no limit within the retention period.
+     *
+     * @param known incarnations that are listed
+     */
     public void forgetGone(Set<String> known, long nowMillis) {
         limited.entrySet()
                 .removeIf(each -> !known.contains(each.getKey())
-                        && nowMillis - each.getValue().named().heardMillis() > KEEP_MILLIS);
+                        && nowMillis - each.getValue().limit().heardMillis() > RETENTION_MILLIS);
         unreadable.retainAll(known);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/permit/NamedLimit.java
+++ b/core/src/main/java/org/streamring/kernel/permit/NamedLimit.java
@@ -1,20 +1,20 @@
 package org.streamring.kernel.permit;
 
 /**
- * The limit that a server named, as far as answers that overtake each other tell.
+ * Limit that a backend server has announced, derived from answers that may arrive out of order.
  *
- * @param perSecond requests a second; {@link #UNLIMITED} where it names none any more
- * @param sentMillis when the newest request was sent whose answer named it
- * @param heardMillis when such an answer was heard last
+ * @param perSecond requests per second; {@link #UNLIMITED} if the server no longer announces a limit
+ * @param sentMillis when the newest request was sent whose answer announced the limit
+ * @param heardMillis when such an answer was last received
  */
 record NamedLimit(double perSecond, long sentMillis, long heardMillis) {
     static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     /**
-     * What holds after another answer. A smaller limit counts unless its answer was heard before the request of the
-     * larger one was sent; a larger one counts only in that case.
+     * Returns the limit in force after another answer. If the answer with the smaller limit was received before the
+     * request of the larger one was sent, the larger limit applies; otherwise the smaller one does.
      */
-    NamedLimit followedBy(NamedLimit other) {
+    NamedLimit combinedWith(NamedLimit other) {
         if (other.perSecond == perSecond) {
             return new NamedLimit(
                     perSecond, Math.max(sentMillis, other.sentMillis), Math.max(heardMillis, other.heardMillis));
@@ -24,7 +24,7 @@
         return larger.sentMillis > smaller.heardMillis ? larger : smaller;
     }
 
-    boolean binds() {
+    boolean hasLimit() {
         return perSecond != UNLIMITED;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/permit/Permit.java
+++ b/core/src/main/java/org/streamring/kernel/permit/Permit.java
@@ -1,9 +1,9 @@
 package org.streamring.kernel.permit;
 
 /**
- * Leave to send one request to a backend server that names a limit.
+ * Permission to send one request to a backend server that announces a limit.
  *
- * @param incarnation the server
- * @param askedMillis when it was asked for: it is valid for a time from then on, so that late news grants nothing
+ * @param incarnation incarnation of the server
+ * @param askedMillis when it was requested; its validity starts then, so that a late grant has no effect
  */
 public record Permit(String incarnation, long askedMillis) {}
--- a/core/src/main/java/org/streamring/kernel/permit/PermitAsk.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitAsk.java
@@ -1,13 +1,13 @@
 package org.streamring.kernel.permit;
 
 /**
- * A question for permits.
+ * Request for permits, sent to their owner.
  *
- * @param news the limit, as the asking entry last heard it
- * @param wanted requests that wait for a permit
+ * @param news limit of the server, as last recorded by the requesting entry
+ * @param wanted number of requests that wait for a permit
  */
 public record PermitAsk(LimitNews news, int wanted) {
-    /** The server. */
+    /** Returns the incarnation of the server. */
     public String incarnation() {
         return news.incarnation();
     }
--- a/core/src/main/java/org/streamring/kernel/permit/PermitDesk.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitDesk.java
@@ -8,192 +8,197 @@
 import java.util.Set;
 
 /**
- * An entry's part in dividing the limits that backend servers name: asks the owners of permits for its own requests,
- * and answers others as an owner. Confined to one thread.
+ * Coordinates permits among entries: requests permits from their owners for this entry's requests, and issues permits
+ * to other entries where this entry is an owner. Confined to one thread.
  */
 public final class PermitDesk {
-    /** An owner that is reached answers within a few milliseconds; then the next one is asked. */
+    /** Time after which the next owner is asked; an owner that can be reached answers within a few milliseconds. */
     public static final long TIMEOUT_MILLIS = 100;
 
-    /** An owner that did not answer is passed over for so long, as each question to it costs the time above. */
-    static final long PASSED_OVER_MILLIS = 1_000;
+    /** Time for which an owner that did not answer is skipped, as each request to it costs {@link #TIMEOUT_MILLIS}. */
+    static final long SKIP_MILLIS = 1_000;
 
-    /** Answers that say the same as before are told on this often. */
-    static final long TELL_AGAIN_MILLIS = 500;
+    /** Interval at which an unchanged limit is reported to its owners again. */
+    static final long REPORT_INTERVAL_MILLIS = 500;
 
-    private final String own;
+    private final String ownName;
     private final PermitLink link;
     private final LimitEvents events;
     private final LimitedBackends limits;
     private final PermitIssuer issuer = new PermitIssuer();
     private final PermitOwners owners;
-    private final Map<Long, Query> queries = new HashMap<>();
-    private final Map<String, Told> told = new HashMap<>();
-    private final Map<String, Long> passedOverUntil = new HashMap<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private final Map<String, ReportedLimit> lastReported = new HashMap<>();
+    private final Map<String, Long> skippedUntil = new HashMap<>();
     private Set<String> connected = Set.of();
     private long nextNumber;
     private long nowMillis;
 
-    /** What the owners of a server's permits were told last. */
-    private record Told(double perSecond, long atMillis) {}
+    /** Limit last reported to the owners of a server's permits. */
+    private record ReportedLimit(double perSecond, long atMillis) {}
 
-    /** A question under way to one owner. */
-    private record Query(PermitAsk ask, String entry, long askedMillis, long sentMillis) {}
+    /** Permit request that one owner has not answered yet. */
+    private record PendingRequest(PermitAsk ask, String entry, long askedMillis, long sentMillis) {}
 
     /**
-     * Creates one that knows of no limit and no other entry.
+     * Creates an instance without recorded limits or other entries.
      *
-     * @param own name of this entry
-     * @param events told what is believed of the servers' limits
+     * @param ownName name of this entry
+     * @param events receives changes in the recorded limits of servers
      */
-    public PermitDesk(String own, PermitLink link, LimitEvents events) {
-        this.own = own;
+    public PermitDesk(String ownName, PermitLink link, LimitEvents events) {
+        this.ownName = ownName;
         this.link = link;
         this.events = events;
-        this.owners = new PermitOwners(own);
-        this.limits = new LimitedBackends(new Changes(), this::ask);
+        this.owners = new PermitOwners(ownName);
+        this.limits = new LimitedBackends(new OwnerReporter(), this::ask);
     }
 
-    /** What this entry believes of the servers' limits, and its permits. */
+    /** Returns the limits recorded by this entry, and its permits. */
     public LimitedBackends limits() {
         return limits;
     }
 
     /**
-     * Takes who takes part.
+     * Sets the members of the fleet.
      *
-     * @param entries entries that may own permits, this one among them; none while they are not known
-     * @param connectedEntries entries to which a connection is open
+     * @param entries entries that may own permits, including this one; empty while the members are not known
+     * @param connectedEntries entries to which this entry is connected
      */
     public void entries(Set<String> entries, Set<String> connectedEntries, long now) {
         connected = Set.copyOf(connectedEntries);
         boolean isolated = entries.size() > 1 && entries.stream().noneMatch(connected::contains);
-        owners.entries(entries, isolated, now);
+        owners.setEntries(entries, isolated, now);
     }
 
     private void ask(PermitAsk ask) {
         ask(ask, nowMillis, new HashSet<>());
     }
 
-    /** Asks the first owner that can be reached and was not tried for this question. */
+    /** Sends a permit request to the first owner that can be reached and was not tried for it before. */
     private void ask(PermitAsk ask, long askedMillis, Set<String> tried) {
-        Optional<String> owner = owners.of(ask.incarnation()).stream()
+        Optional<String> owner = owners.ownersOf(ask.incarnation()).stream()
                 .filter(each -> !tried.contains(each))
-                .filter(this::isReached)
+                .filter(this::isReachable)
                 .findFirst();
         if (owner.isEmpty()) {
-            limits.unanswered(ask.incarnation(), askedMillis, nowMillis);
-        } else if (owner.get().equals(own)) {
+            limits.requestFailed(ask.incarnation(), askedMillis, nowMillis);
+        } else if (owner.get().equals(ownName)) {
             limits.granted(ask.incarnation(), askedMillis, issue(ask), nowMillis);
         } else {
             long number = nextNumber++;
-            queries.put(number, new Query(ask, owner.get(), askedMillis, nowMillis));
+            pendingRequests.put(number, new PendingRequest(ask, owner.get(), askedMillis, nowMillis));
             link.ask(owner.get(), number, ask);
         }
     }
 
-    private boolean isReached(String entry) {
-        boolean passedOver = passedOverUntil.getOrDefault(entry, Long.MIN_VALUE) > nowMillis;
-        return entry.equals(own) || (connected.contains(entry) && !passedOver);
+    private boolean isReachable(String entry) {
+        boolean skipped = skippedUntil.getOrDefault(entry, Long.MIN_VALUE) > nowMillis;
+        return entry.equals(ownName) || (connected.contains(entry) && !skipped);
     }
 
     private PermitGrant issue(PermitAsk ask) {
-        double share = owners.share(ask.incarnation());
-        return share == 0 ? PermitGrant.none(LimitedBackends.ASK_AGAIN_MILLIS) : issuer.ask(ask, share, nowMillis);
+        double share = owners.shareOf(ask.incarnation());
+        return share == 0 ? PermitGrant.none(LimitedBackends.RETRY_MILLIS) : issuer.answer(ask, share, nowMillis);
     }
 
-    /** Notes that a request could use a server, which asks for a permit where one is lacking. */
+    /** Records that a request could be sent to a server, and requests a permit if none is available. */
     public void wanted(String incarnation, long now) {
         nowMillis = now;
         limits.wanted(incarnation, now);
     }
 
-    /** Answers another entry's question, and heeds the limit that it names. */
-    public PermitGrant asked(String byEntry, PermitAsk ask, long now) {
+    /** Answers a permit request of another entry, and records the limit in it. */
+    public PermitGrant asked(String sender, PermitAsk ask, long now) {
         nowMillis = now;
         PermitGrant grant = issue(ask);
-        heed(ask.news(), byEntry);
+        recordIfInForce(ask.news(), sender);
         return grant;
     }
 
-    /** Takes an owner's answer; one that comes after its time has granted nothing. */
+    /** Accepts an owner's answer; an answer after the timeout is ignored. */
     public void granted(long number, PermitGrant grant, long now) {
         nowMillis = now;
-        Query query = queries.remove(number);
-        if (query != null) {
-            limits.granted(query.ask().incarnation(), query.askedMillis(), grant, now);
+        PendingRequest pending = pendingRequests.remove(number);
+        if (pending != null) {
+            limits.granted(pending.ask().incarnation(), pending.askedMillis(), grant, now);
         }
     }
 
-    /** Takes what another entry heard of a server's limit. */
-    public void told(String byEntry, LimitNews news, long now) {
+    /** Records a limit update from another entry. */
+    public void told(String sender, LimitNews update, long now) {
         nowMillis = now;
-        issuer.hear(news, now);
-        heed(news, byEntry);
+        issuer.apply(update, now);
+        recordIfInForce(update, sender);
     }
 
-    private void heed(LimitNews news, String byEntry) {
-        if (issuer.binds(news.incarnation())) {
-            limits.told(news, byEntry, nowMillis);
+    private void recordIfInForce(LimitNews update, String sender) {
+        if (issuer.isInForce(update.incarnation())) {
+            limits.recordReported(update, sender, nowMillis);
         }
     }
 
-    /** Takes what an answer says; see {@link LimitedBackends#answered}. */
-    public void answered(String incarnation, LimitWord word, long sentMillis, long now) {
+    /** Records the limit notice of an answer; see {@link LimitedBackends#answered}. */
+    public void answered(String incarnation, LimitWord notice, long sentMillis, long now) {
         nowMillis = now;
-        limits.answered(incarnation, word, sentMillis, now);
-        if (word.kind() == LimitWord.Kind.NAMED) {
-            limits.news(incarnation, now).filter(this::isNews).ifPresent(this::tellOwners);
+        limits.answered(incarnation, notice, sentMillis, now);
+        if (notice.kind() == LimitWord.Kind.NAMED) {
+            limits.update(incarnation, now).filter(this::isReportDue).ifPresent(this::reportToOwners);
         }
     }
 
-    /** An owner that was misled by late news is set right by the next answer. */
-    private boolean isNews(LimitNews news) {
-        Told before = told.get(news.incarnation());
+    /** Returns whether an update is to be sent: repeating it corrects an owner that applied a delayed update. */
+    private boolean isReportDue(LimitNews update) {
+        ReportedLimit before = lastReported.get(update.incarnation());
         return before == null
-                || before.perSecond() != news.perSecond()
-                || nowMillis - before.atMillis() >= TELL_AGAIN_MILLIS;
+                || before.perSecond() != update.perSecond()
+                || nowMillis - before.atMillis() >= REPORT_INTERVAL_MILLIS;
     }
 
-    /** Goes on with questions that are not answered in time; to be called so long after each. */
+    /**
+     * Sends permit requests that timed out to the next owner; to be called {@link #TIMEOUT_MILLIS} after each request.
+     */
     public void goOnWithUnanswered(long now) {
         nowMillis = now;
-        for (Map.Entry<Long, Query> each : List.copyOf(queries.entrySet())) {
-            Query query = each.getValue();
-            if (now - query.sentMillis() >= TIMEOUT_MILLIS) {
-                queries.remove(each.getKey());
-                passedOverUntil.put(query.entry(), now + PASSED_OVER_MILLIS);
-                ask(query.ask(), query.askedMillis(), Set.of(query.entry()));
+        for (Map.Entry<Long, PendingRequest> each : List.copyOf(pendingRequests.entrySet())) {
+            PendingRequest pending = each.getValue();
+            if (now - pending.sentMillis() >= TIMEOUT_MILLIS) {
+                pendingRequests.remove(each.getKey());
+                skippedUntil.put(pending.entry(), now + SKIP_MILLIS);
+                ask(pending.ask(), pending.askedMillis(), Set.of(pending.entry()));
             }
         }
     }
 
-    /** How much of each limit this entry's permits used; see {@link PermitIssuer#takeUse}. */
+    /** Returns the used fraction of each limit whose permits this entry issues; see {@link PermitIssuer#takeUse}. */
     public List<Double> takeUse(long sinceMillis, long now) {
         return issuer.takeUse(sinceMillis, now);
     }
 
-    /** Forgets servers that are gone. */
+    /** Removes servers that are no longer listed. */
     public void forgetGone(Set<String> known, long now) {
         limits.forgetGone(known, now);
-        issuer.forgetUnasked(now);
-        passedOverUntil.values().removeIf(until -> until < now);
-        told.keySet().removeIf(each -> !limits.isLimited(each));
+        issuer.removeUnused(now);
+        skippedUntil.values().removeIf(until -> until < now);
+        lastReported.keySet().removeIf(each -> !limits.isLimited(each));
     }
 
-    /** Owners learn of a change from whoever hears it first: they pace the permits of all. */
-    private void tellOwners(LimitNews news) {
-        if (news.perSecond() != NamedLimit.UNLIMITED) {
-            told.put(news.incarnation(), new Told(news.perSecond(), nowMillis));
+    /**
+     * Sends an update to the owners, which need it from the first entry that receives it: they set the rate for all
+     * entries.
+     */
+    private void reportToOwners(LimitNews update) {
+        if (update.perSecond() != NamedLimit.UNLIMITED) {
+            lastReported.put(update.incarnation(), new ReportedLimit(update.perSecond(), nowMillis));
         }
-        issuer.hear(news, nowMillis);
-        owners.of(news.incarnation()).stream()
-                .filter(each -> !each.equals(own))
+        issuer.apply(update, nowMillis);
+        owners.ownersOf(update.incarnation()).stream()
+                .filter(each -> !each.equals(ownName))
                 .filter(connected::contains)
-                .forEach(each -> link.tell(each, news));
+                .forEach(each -> link.tell(each, update));
     }
 
-    private final class Changes implements LimitEvents {
+    private final class OwnerReporter implements LimitEvents {
         @Override
         public void limited(String incarnation, double perSecond, String byEntry) {
             events.limited(incarnation, perSecond, byEntry);
@@ -201,8 +206,8 @@
 
         @Override
         public void unlimited(String incarnation, long sentAgeMillis) {
-            told.remove(incarnation);
-            tellOwners(new LimitNews(incarnation, NamedLimit.UNLIMITED, sentAgeMillis, 0));
+            lastReported.remove(incarnation);
+            reportToOwners(new LimitNews(incarnation, NamedLimit.UNLIMITED, sentAgeMillis, 0));
             events.unlimited(incarnation, sentAgeMillis);
         }
 
--- a/core/src/main/java/org/streamring/kernel/permit/PermitGrant.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitGrant.java
@@ -1,13 +1,13 @@
 package org.streamring.kernel.permit;
 
 /**
- * What the owner of a server's permits answers.
+ * Answer of a permit owner to a permit request.
  *
- * @param count permits granted
- * @param waitMillis if none was granted: when to ask again, in milliseconds from now
+ * @param count number of permits granted
+ * @param waitMillis time in milliseconds after which to request again, if no permit was granted
  */
 public record PermitGrant(int count, long waitMillis) {
-    /** None, for so long. */
+    /** Creates an answer that grants no permit. */
     static PermitGrant none(long waitMillis) {
         return new PermitGrant(0, waitMillis);
     }
--- a/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
@@ -6,141 +6,150 @@
 import java.util.Map;
 
 /**
- * Issues permits for servers that name a limit, at the pace of the limit.
+ * Issues permits for backend servers that announce a limit, at the rate of the limit.
  *
- * <p>Permits are issued one after the other rather than from a full bucket, so that a window holds what its length
- * allows and one more. Confined to one thread.
+ * <p>Permits are issued at even intervals rather than from a full token bucket, so that a window holds at most one
+ * permit more than its length allows. Confined to one thread.
  */
 public final class PermitIssuer {
-    /** A server that takes nothing, or hardly anything, still gets a request now and then, or its end isn't noticed. */
-    static final double LEAST_PER_SECOND = 0.25;
+    /** Minimum rate, also for a limit of 0: only the answer to a request shows that the limit has ended. */
+    static final double MIN_PER_SECOND = 0.25;
 
-    /** An entry that asks while no permit is free is told to come back within this time. */
-    static final long LONGEST_WAIT_MILLIS = 5_000;
+    /** Maximum time after which an entry that received no permit is to request again. */
+    static final long MAX_WAIT_MILLIS = 5_000;
 
-    /** Where permits come faster than questions, so much of the pace may be issued at once. */
+    /** Time whose permits may be issued at once, where permits become due faster than permit requests arrive. */
     static final long BATCH_MILLIS = 100;
 
     /**
-     * After a larger limit is named, or none, the pace begins with this, if it was lower, and doubles with each answer
-     * to a later request that says the same: the news may have been late, and a smaller limit be named since.
+     * Minimum initial rate after a limit was raised or ended. The rate doubles with each answer to a later request that
+     * confirms the change: the update may have been delayed, and a smaller limit announced since.
      */
     static final double FIRST_AFTER_RAISE_PER_SECOND = 0.5;
 
-    private static final long KEEP_MILLIS = 60_000;
+    private static final long RETENTION_MILLIS = 60_000;
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final Map<String, Pace> paces = new HashMap<>();
+    private final Map<String, IssueRate> ratesByIncarnation = new HashMap<>();
 
-    /** The pace of one server's permits. */
-    private static final class Pace {
+    /** Rate of one server's permits. */
+    private static final class IssueRate {
         private NamedLimit named;
-        private double reachedPerSecond;
-        private long steppedMillis;
+        private double allowedPerSecond;
+        private long changedMillis;
         private double nextMillis;
         private double queueEndMillis;
-        private long askedMillis;
+        private long lastRequestMillis;
         private int issued;
 
-        private Pace(NamedLimit named, long nowMillis) {
+        private IssueRate(NamedLimit named, long nowMillis) {
             this.named = named;
-            this.reachedPerSecond = named.binds() ? named.perSecond() : FIRST_AFTER_RAISE_PER_SECOND;
-            waitAnew(nowMillis);
+            this.allowedPerSecond = named.hasLimit() ? named.perSecond() : FIRST_AFTER_RAISE_PER_SECOND;
+            restartInterval(nowMillis);
         }
 
-        /** As if a permit had been issued just now: what an earlier owner, or a larger limit, allowed is not known. */
-        private void waitAnew(long nowMillis) {
+        /**
+         * Restarts the interval as if a permit had just been issued: permits issued by an earlier owner, or under a
+         * larger limit, are not known.
+         */
+        private void restartInterval(long nowMillis) {
             nextMillis = nowMillis + MILLIS_PER_SECOND / perSecond();
             queueEndMillis = 0;
         }
 
-        private void hear(NamedLimit word, long nowMillis) {
+        private void update(NamedLimit newer, long nowMillis) {
             NamedLimit before = named;
-            named = before.followedBy(word);
+            named = before.combinedWith(newer);
             if (named.perSecond() > before.perSecond()) {
-                reachedPerSecond =
-                        Math.max(FIRST_AFTER_RAISE_PER_SECOND, Math.min(before.perSecond(), reachedPerSecond));
-                steppedMillis = nowMillis;
+                allowedPerSecond =
+                        Math.max(FIRST_AFTER_RAISE_PER_SECOND, Math.min(before.perSecond(), allowedPerSecond));
+                changedMillis = nowMillis;
                 nextMillis = Math.min(nextMillis, (double) nowMillis);
                 queueEndMillis = 0;
             } else if (named.perSecond() < before.perSecond()) {
-                reachedPerSecond = named.perSecond();
-                waitAnew(nowMillis);
-            } else if (word.perSecond() == named.perSecond() && word.sentMillis() > steppedMillis) {
-                reachedPerSecond = 2 * reachedPerSecond;
-                steppedMillis = nowMillis;
+                allowedPerSecond = named.perSecond();
+                restartInterval(nowMillis);
+            } else if (newer.perSecond() == named.perSecond() && newer.sentMillis() > changedMillis) {
+                allowedPerSecond = 2 * allowedPerSecond;
+                changedMillis = nowMillis;
             }
         }
 
         private double perSecond() {
-            return Math.max(LEAST_PER_SECOND, Math.min(named.perSecond(), reachedPerSecond));
+            return Math.max(MIN_PER_SECOND, Math.min(named.perSecond(), allowedPerSecond));
         }
     }
 
-    /** Takes what an entry heard of a server's limit. */
-    public void hear(LimitNews news, long nowMillis) {
-        pace(news, nowMillis);
+    /** Applies a limit update of this entry or another one. */
+    public void apply(LimitNews update, long nowMillis) {
+        rate(update, nowMillis);
     }
 
-    private Pace pace(LimitNews news, long nowMillis) {
-        Pace pace = paces.computeIfAbsent(news.incarnation(), key -> new Pace(news.asOf(nowMillis), nowMillis));
-        pace.askedMillis = nowMillis;
-        pace.hear(news.asOf(nowMillis), nowMillis);
-        return pace;
+    private IssueRate rate(LimitNews update, long nowMillis) {
+        IssueRate rate = ratesByIncarnation.computeIfAbsent(
+                update.incarnation(), key -> new IssueRate(update.asOf(nowMillis), nowMillis));
+        rate.lastRequestMillis = nowMillis;
+        rate.update(update.asOf(nowMillis), nowMillis);
+        return rate;
     }
 
     /**
-     * Answers a question of this entry or another.
+     * Answers a permit request of this entry or another one.
      *
-     * @param share part of the limit that this entry may issue
+     * @param share share of the limit that this entry may issue, greater than 0
      */
-    public PermitGrant ask(PermitAsk ask, double share, long nowMillis) {
-        Pace pace = pace(ask.news(), nowMillis);
-        double interval = MILLIS_PER_SECOND / (pace.perSecond() * share);
-        pace.nextMillis = Math.min(pace.nextMillis, nowMillis + interval);
-        return nowMillis < pace.nextMillis ? queue(pace, interval, nowMillis) : issue(pace, ask, interval, nowMillis);
+    public PermitGrant answer(PermitAsk ask, double share, long nowMillis) {
+        IssueRate rate = rate(ask.news(), nowMillis);
+        double interval = MILLIS_PER_SECOND / (rate.perSecond() * share);
+        rate.nextMillis = Math.min(rate.nextMillis, nowMillis + interval);
+        return nowMillis < rate.nextMillis ? queue(rate, interval, nowMillis) : issue(rate, ask, interval, nowMillis);
     }
 
-    private static PermitGrant issue(Pace pace, PermitAsk ask, double interval, long nowMillis) {
+    private static PermitGrant issue(IssueRate rate, PermitAsk ask, double interval, long nowMillis) {
         int batch = (int) Math.max(1, BATCH_MILLIS / interval);
         double earliest = nowMillis - (batch - 1) * interval;
-        pace.nextMillis = Math.max(pace.nextMillis, earliest);
-        int due = 1 + (int) ((nowMillis - pace.nextMillis) / interval);
+        rate.nextMillis = Math.max(rate.nextMillis, earliest);
+        int due = 1 + (int) ((nowMillis - rate.nextMillis) / interval);
         int count = Math.max(1, Math.min(ask.wanted(), due));
-        pace.nextMillis += count * interval;
-        pace.issued += count;
+        rate.nextMillis += count * interval;
+        rate.issued += count;
         return new PermitGrant(count, 0);
     }
 
-    /** Entries are told turns one after the other, so that those whose callers wait don't all ask at once. */
-    private static PermitGrant queue(Pace pace, double interval, long nowMillis) {
-        double turn = Math.max(pace.nextMillis, pace.queueEndMillis);
-        double latest = (double) nowMillis + LONGEST_WAIT_MILLIS;
-        pace.queueEndMillis = Math.min(latest, turn + interval);
-        return PermitGrant.none((long) Math.ceil(Math.min(turn, latest) - nowMillis));
+    /** Assigns successive times to entries that have to wait, so that they don't all request permits at once. */
+    private static PermitGrant queue(IssueRate rate, double interval, long nowMillis) {
+        double assignedTime = Math.max(rate.nextMillis, rate.queueEndMillis);
+        double latest = (double) nowMillis + MAX_WAIT_MILLIS;
+        rate.queueEndMillis = Math.min(latest, assignedTime + interval);
+        return PermitGrant.none((long) Math.ceil(Math.min(assignedTime, latest) - nowMillis));
     }
 
-    /** Whether a server's limit was named by a later answer than the last one that named none. */
-    public boolean binds(String incarnation) {
-        Pace pace = paces.get(incarnation);
-        return pace != null && pace.named.binds();
+    /** Returns whether a server's limit is in force, that is, no later answer without a limit has ended it. */
+    public boolean isInForce(String incarnation) {
+        IssueRate rate = ratesByIncarnation.get(incarnation);
+        return rate != null && rate.named.hasLimit();
     }
 
-    /** How much of each limit was used since the last call, as a part of it, where permits were asked for. */
+    /**
+     * Returns the permits issued since the last call as a fraction of each limit, for servers whose permits were
+     * requested or whose limit was updated in that time, and resets the counts.
+     *
+     * @param sinceMillis time of the last call
+     */
     public List<Double> takeUse(long sinceMillis, long nowMillis) {
-        List<Double> parts = new ArrayList<>();
-        for (Pace pace : paces.values()) {
-            if (pace.askedMillis >= sinceMillis && pace.named.binds()) {
-                double limit = pace.perSecond() * (nowMillis - sinceMillis) / MILLIS_PER_SECOND;
-                parts.add(pace.issued / limit);
+        List<Double> fractions = new ArrayList<>();
+        for (IssueRate rate : ratesByIncarnation.values()) {
+            if (rate.lastRequestMillis >= sinceMillis && rate.named.hasLimit()) {
+                double limit = rate.perSecond() * (nowMillis - sinceMillis) / MILLIS_PER_SECOND;
+                fractions.add(rate.issued / limit);
             }
-            pace.issued = 0;
+            rate.issued = 0;
         }
-        return parts;
+        return fractions;
     }
 
-    /** Forgets servers for which nobody has asked for long. */
-    public void forgetUnasked(long nowMillis) {
-        paces.values().removeIf(pace -> nowMillis - pace.askedMillis > KEEP_MILLIS);
+    /** Removes servers without a permit request or limit update within the retention period. */
+    public void removeUnused(long nowMillis) {
+        ratesByIncarnation.values().removeIf(rate -> nowMillis - rate.lastRequestMillis > RETENTION_MILLIS);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/permit/PermitLink.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitLink.java
@@ -1,10 +1,10 @@
 package org.streamring.kernel.permit;
 
-/** Carries questions for permits to other entries. */
+/** Sends permit requests and limit updates to other entries. */
 public interface PermitLink {
-    /** Sends a question; its answer, if one comes, carries the number. */
+    /** Sends a permit request; the answer, if there is one, carries the same number. */
     void ask(String entry, long number, PermitAsk ask);
 
-    /** Tells another entry what a server says of its limit now. */
-    void tell(String entry, LimitNews news);
+    /** Sends a limit update to another entry. */
+    void tell(String entry, LimitNews update);
 }
--- a/core/src/main/java/org/streamring/kernel/permit/PermitOwners.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitOwners.java
@@ -7,76 +7,79 @@
 import org.streamring.kernel.routing.RendezvousHash;
 
 /**
- * Which entries issue the permits of a server, and how much of its limit.
+ * Determines which entries issue the permits of a backend server, and for which share of its limit.
  *
- * <p>The first entry by the hash of the server issues the whole limit, the second, for those who can't reach the first,
- * a small part of it. An entry that has become the first one issues that small part as well until the views of all
- * entries have followed. So what two entries with differing views issue stays below one and a half times the limit.
- * Confined to one thread.
+ * <p>The entry that ranks first by rendezvous hash of the server issues the whole limit. The second issues a small
+ * share of it, for entries that can't reach the first. An entry that has become first also issues only the small share
+ * until the membership views of all entries include the change. Two entries with different views therefore issue less
+ * than one and a half times the limit together. Confined to one thread.
  */
 public final class PermitOwners {
-    /** Owners of a server's permits. */
-    static final int OWNERS = 2;
+    /** Number of owners of a server's permits. */
+    static final int OWNER_COUNT = 2;
 
-    /** What an owner issues beside another one that may issue the whole limit. */
+    /** Share of the limit that an owner issues while another one may issue the whole limit. */
     static final double SMALL_SHARE = 0.25;
 
-    /** By then all entries have read who is alive: they read every two to eight seconds. */
-    static final long SETTLED_MILLIS = 10_000;
+    /** Time after which all entries have read a membership change; they read the members every two to eight seconds. */
+    static final long VIEW_PROPAGATION_MILLIS = 10_000;
 
-    private final String own;
-    private final Deque<View> views = new ArrayDeque<>();
-    private Set<String> newest = Set.of();
+    private final String ownName;
+    private final Deque<View> earlierViews = new ArrayDeque<>();
+    private Set<String> currentEntries = Set.of();
     private boolean isolated;
 
     private record View(Set<String> entries, long untilMillis) {}
 
     /**
-     * Creates one that knows of no entry.
+     * Creates an instance without members.
      *
-     * @param own name of this entry
+     * @param ownName name of this entry
      */
-    public PermitOwners(String own) {
-        this.own = own;
+    public PermitOwners(String ownName) {
+        this.ownName = ownName;
     }
 
     /**
-     * Takes the entries that may own permits, this one among them; none while they are not known.
+     * Sets the entries that may own permits.
      *
-     * @param isolatedNow whether this entry reaches none of the others
+     * @param entries the entries, including this one; empty while the members are not known
+     * @param isolatedNow whether this entry is connected to none of the others
      */
-    public void entries(Set<String> entries, boolean isolatedNow, long nowMillis) {
+    public void setEntries(Set<String> entries, boolean isolatedNow, long nowMillis) {
         isolated = isolatedNow;
-        while (!views.isEmpty() && nowMillis - views.getFirst().untilMillis() > SETTLED_MILLIS) {
-            views.removeFirst();
+        while (!earlierViews.isEmpty() && nowMillis - earlierViews.getFirst().untilMillis() > VIEW_PROPAGATION_MILLIS) {
+            earlierViews.removeFirst();
         }
-        if (!entries.equals(newest)) {
-            views.addLast(new View(newest, nowMillis));
-            newest = Set.copyOf(entries);
+        if (!entries.equals(currentEntries)) {
+            earlierViews.addLast(new View(currentEntries, nowMillis));
+            currentEntries = Set.copyOf(entries);
         }
     }
 
-    /** The owners of a server's permits, the one to be asked first. */
-    public List<String> of(String incarnation) {
-        return owners(incarnation, newest);
+    /** Returns the owners of a server's permits, in the order in which they are to be asked. */
+    public List<String> ownersOf(String incarnation) {
+        return owners(incarnation, currentEntries);
     }
 
-    /** The part of a server's limit for which this entry may issue permits. */
-    public double share(String incarnation) {
-        List<String> owners = of(incarnation);
-        if (!owners.contains(own)) {
+    /** Returns the share of a server's limit for which this entry may issue permits, from 0 to 1. */
+    public double shareOf(String incarnation) {
+        List<String> owners = ownersOf(incarnation);
+        if (!owners.contains(ownName)) {
             return 0;
         }
-        boolean settled =
-                isFirst(owners) && views.stream().allMatch(view -> isFirst(owners(incarnation, view.entries())));
-        return settled && !isolated ? 1 : SMALL_SHARE;
+        boolean firstInAllViews =
+                isFirst(owners) && earlierViews.stream().allMatch(view -> isFirst(owners(incarnation, view.entries())));
+        return firstInAllViews && !isolated ? 1 : SMALL_SHARE;
     }
 
     private boolean isFirst(List<String> owners) {
-        return !owners.isEmpty() && owners.get(0).equals(own);
+        return !owners.isEmpty() && owners.get(0).equals(ownName);
     }
 
     private static List<String> owners(String incarnation, Set<String> entries) {
-        return RendezvousHash.order(incarnation, entries).stream().limit(OWNERS).toList();
+        return RendezvousHash.order(incarnation, entries).stream()
+                .limit(OWNER_COUNT)
+                .toList();
     }
 }
--- a/core/src/main/java/org/streamring/kernel/permit/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/permit/package-info.java
@@ -1,4 +1,4 @@
-/** What a backend server takes from all entries together, by the limit that it names, divided by permits. */
+/** Enforces the rate limits that backend servers announce for all entries together, by permits shared among entries. */
 @NullMarked
 package org.streamring.kernel.permit;
 
--- a/core/src/test/java/org/streamring/kernel/permit/LimitWays.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
@@ -9,31 +9,31 @@
 import java.util.function.Supplier;
 import org.streamring.kernel.routing.RendezvousHash;
 
-/** Ways to divide a server's limit among entries, compared by {@link LimitFleet}. */
-final class LimitWays {
-    private LimitWays() {}
+/** Strategies for dividing a server's limit among entries, compared by {@link LimitFleet}. */
+final class LimitDivisionStrategies {
+    private LimitDivisionStrategies() {}
 
-    /** What one entry may send. */
-    interface Way {
-        /** Asks before a choice whether a request may go to a server. */
+    /** Decides which requests one entry may send. */
+    interface Strategy {
+        /** Returns whether a request may be placed at a server; called before a server is chosen. */
         boolean takes(String server, long now);
 
-        /** A request is placed. */
+        /** Records that a request is placed at a server. */
         void place(String server, long now);
 
-        /** Whether it may still be sent. */
+        /** Returns whether a placed request may still be sent. */
         boolean mayBeSent(String server, long now);
 
-        /** An answer was heard. */
-        void answered(String server, LimitWord word, long sentMillis, long now);
+        /** Records the limit notice of an answer. */
+        void answered(String server, LimitWord notice, long sentMillis, long now);
     }
 
-    /** Permits of one owner, as the product does it. */
-    static final class Permits implements Way {
+    /** Uses the permits of one owner, as in production. */
+    static final class PermitStrategy implements Strategy {
         private final PermitDesk desk;
         private final Map<String, Deque<Optional<Permit>>> placed = new HashMap<>();
 
-        Permits(PermitDesk desk) {
+        PermitStrategy(PermitDesk desk) {
             this.desk = desk;
         }
 
@@ -52,44 +52,44 @@
         @Override
         public boolean mayBeSent(String server, long now) {
             Optional<Permit> permit = placed.get(server).removeFirst();
-            boolean may = desk.limits().mayBeSent(server, permit, now);
-            if (!may) {
+            boolean allowed = desk.limits().mayBeSent(server, permit, now);
+            if (!allowed) {
                 permit.ifPresent(desk.limits()::notSent);
             }
-            return may;
+            return allowed;
         }
 
         @Override
-        public void answered(String server, LimitWord word, long sentMillis, long now) {
-            desk.answered(server, word, sentMillis, now);
+        public void answered(String server, LimitWord notice, long sentMillis, long now) {
+            desk.answered(server, notice, sentMillis, now);
         }
     }
 
-    /** A part of the limit for some entries, each kept by itself; others send nothing. */
-    static final class FixedParts implements Way {
+    /** Gives some entries a fixed share of the limit, which each enforces locally; other entries send nothing. */
+    static final class FixedShareStrategy implements Strategy {
         private static final long WINDOW_MILLIS = 4_500;
 
-        private final String own;
+        private final String ownName;
         private final Supplier<Set<String>> entries;
         private final int owners;
-        private final double ofLimit;
+        private final double shareDivisor;
         private final Map<String, Double> limits = new HashMap<>();
-        private final Map<String, Long> heard = new HashMap<>();
+        private final Map<String, Long> noticeReceivedAt = new HashMap<>();
         private final Map<String, Deque<Long>> sent = new HashMap<>();
         private final Map<String, Boolean> owned = new HashMap<>();
-        private Set<String> known = Set.of();
+        private Set<String> lastEntries = Set.of();
 
         /**
-         * Creates one.
+         * Creates a strategy.
          *
-         * @param owners entries that have a part of each server's limit
-         * @param ofLimit parts into which the bound of a window is divided, for each owner
+         * @param owners number of entries that have a share of each server's limit
+         * @param shareDivisor number of shares into which the bound of a window is divided
          */
-        FixedParts(String own, Supplier<Set<String>> entries, int owners, double ofLimit) {
-            this.own = own;
+        FixedShareStrategy(String ownName, Supplier<Set<String>> entries, int owners, double shareDivisor) {
+            this.ownName = ownName;
             this.entries = entries;
             this.owners = owners;
-            this.ofLimit = ofLimit;
+            this.shareDivisor = shareDivisor;
         }
 
         @Override
@@ -103,19 +103,19 @@
                 times.removeFirst();
             }
             boolean owns = owns(server);
-            int part = (int) Math.min((6 * limit + 5) / ofLimit, Math.max(1, 4.5 * limit / owners));
-            return owns && times.size() < part;
+            int allowed = (int) Math.min((6 * limit + 5) / shareDivisor, Math.max(1, 4.5 * limit / owners));
+            return owns && times.size() < allowed;
         }
 
         private boolean owns(String server) {
             Set<String> current = entries.get();
-            if (!current.equals(known)) {
-                known = current;
+            if (!current.equals(lastEntries)) {
+                lastEntries = current;
                 owned.clear();
             }
-            return owned.computeIfAbsent(server, key -> RendezvousHash.order(key, known).stream()
+            return owned.computeIfAbsent(server, key -> RendezvousHash.order(key, lastEntries).stream()
                     .limit(owners)
-                    .anyMatch(own::equals));
+                    .anyMatch(ownName::equals));
         }
 
         @Override
@@ -129,11 +129,11 @@
         }
 
         @Override
-        public void answered(String server, LimitWord word, long sentMillis, long now) {
-            if (word.kind() == LimitWord.Kind.NAMED) {
-                limits.put(server, word.perSecond());
-                heard.put(server, now);
-            } else if (sentMillis > heard.getOrDefault(server, Long.MAX_VALUE)) {
+        public void answered(String server, LimitWord notice, long sentMillis, long now) {
+            if (notice.kind() == LimitWord.Kind.NAMED) {
+                limits.put(server, notice.perSecond());
+                noticeReceivedAt.put(server, now);
+            } else if (sentMillis > noticeReceivedAt.getOrDefault(server, Long.MAX_VALUE)) {
                 limits.remove(server);
             }
         }
--- a/core/src/test/java/org/streamring/kernel/permit/LimitsUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitsUnderFaultsTest.java
@@ -3,10 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.stream.IntStream;
-import org.streamring.kernel.permit.LimitFleet.Division;
+import org.streamring.kernel.permit.LimitSimulation.Division;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Runs simulated fleets whose servers announce limits, with and without random faults. */
 public class LimitsUnderFaultsTest {
     @DataProvider
     public static Object[][] fleets() {
@@ -14,21 +15,21 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void noWindowHoldsMoreThanTheLimitAllows(int entries, int days) {
-        for (int seed = 0; seed < days; seed++) {
-            LimitFleet day =
-                    new LimitFleet(seed, Division.PERMITS, entries, 30 + 2 * entries, seed % 2 == 0).play(true);
-            assertThat(day.breaches())
-                    .as("arrivals beyond the limit, seed %d", seed)
+    public void noWindowHoldsMoreRequestsThanTheLimitAllows(int entries, int runs) {
+        for (int seed = 0; seed < runs; seed++) {
+            LimitSimulation simulation =
+                    new LimitSimulation(seed, Division.PERMITS, entries, 30 + 2 * entries, seed % 2 == 0).run(true);
+            assertThat(simulation.breaches())
+                    .as("arrivals above the limit, seed %d", seed)
                     .isEmpty();
         }
     }
 
     @Test
-    public void mostOfALimitIsUsedWhereOneEntryHasAQuarterOfTheCallers() {
+    public void moreThanHalfOfALimitIsUsedIfOneEntryReceivesAQuarterOfTheRequests() {
         double used = IntStream.range(0, 20)
-                .mapToDouble(seed -> new LimitFleet(seed, Division.PERMITS, 6, 42, true)
-                        .play(false)
+                .mapToDouble(seed -> new LimitSimulation(seed, Division.PERMITS, 6, 42, true)
+                        .run(false)
                         .used())
                 .average()
                 .orElseThrow();
--- a/core/src/test/java/org/streamring/kernel/permit/SilentLimitEvents.java
+++ b/core/src/test/java/org/streamring/kernel/permit/NoOpLimitEvents.java
@@ -1,19 +1,19 @@
 package org.streamring.kernel.permit;
 
-/** Hears and does nothing. */
-final class SilentLimitEvents implements LimitEvents {
+/** Ignores all events. */
+final class NoOpLimitEvents implements LimitEvents {
     @Override
     public void limited(String incarnation, double perSecond, String byEntry) {
-        // nobody listens
+        // ignored
     }
 
     @Override
     public void unlimited(String incarnation, long sentAgeMillis) {
-        // nobody listens
+        // ignored
     }
 
     @Override
     public void unreadable(String incarnation, boolean first) {
-        // nobody listens
+        // ignored
     }
 }
--- a/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
@@ -10,10 +10,10 @@
 import org.testng.annotations.Test;
 
 public class PermitDeskTest {
-    private static final String LIFE = "i-1@1";
-    private static final Set<String> ALL = Set.of("a", "b", "c");
-    private static final List<String> ORDER = RendezvousHash.order(LIFE, ALL);
-    private static final long SETTLED = 20_000;
+    private static final String INCARNATION = "i-1@1";
+    private static final Set<String> ENTRIES = Set.of("a", "b", "c");
+    private static final List<String> ENTRIES_BY_RANK = RendezvousHash.order(INCARNATION, ENTRIES);
+    private static final long AFTER_VIEW_PROPAGATION = 20_000;
 
     private final List<String> sent = new ArrayList<>();
     private long lastNumber;
@@ -24,96 +24,108 @@
     }
 
     @Test
-    public void theOwnerAsksItself() {
-        PermitDesk desk = desk(ORDER.get(0), ALL);
-        limit(desk, 10, SETTLED);
-        desk.wanted(LIFE, SETTLED);
-        desk.wanted(LIFE, SETTLED + 100);
-        assertThat(desk.limits().takes(LIFE, SETTLED + 100)).isTrue();
+    public void theFirstOwnerIssuesPermitsToItself() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        announceLimit(coordinator, 10, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
+        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
+                .isTrue();
         assertThat(sent).noneMatch(each -> each.startsWith("ask"));
     }
 
     @Test
-    public void othersAskTheFirstOwnerAndUseItsAnswer() {
-        PermitDesk desk = desk(ORDER.get(2), ALL);
-        limit(desk, 1, SETTLED);
-        desk.wanted(LIFE, SETTLED);
-        assertThat(sent).contains("ask " + ORDER.get(0));
-        desk.granted(lastNumber, new PermitGrant(1, 0), SETTLED + 10);
-        assertThat(desk.limits().takes(LIFE, SETTLED + 10)).isTrue();
+    public void otherEntriesAskTheFirstOwnerAndUseItsAnswer() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
+        assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(0));
+        coordinator.granted(lastNumber, new PermitGrant(1, 0), AFTER_VIEW_PROPAGATION + 10);
+        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 10))
+                .isTrue();
     }
 
     @Test
-    public void theSecondIsAskedWhereTheFirstDoesNotAnswer() {
-        PermitDesk desk = desk(ORDER.get(2), ALL);
-        limit(desk, 1, SETTLED);
-        desk.wanted(LIFE, SETTLED);
-        desk.goOnWithUnanswered(SETTLED + PermitDesk.TIMEOUT_MILLIS);
-        assertThat(sent).contains("ask " + ORDER.get(1));
+    public void theSecondOwnerIsAskedIfTheFirstDoesNotAnswer() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
+        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitDesk.TIMEOUT_MILLIS);
+        assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(1));
     }
 
     @Test
-    public void anAnswerThatComesLateGrantsNothing() {
-        PermitDesk desk = desk(ORDER.get(2), ALL);
-        limit(desk, 1, SETTLED);
-        desk.wanted(LIFE, SETTLED);
+    public void aLateAnswerGrantsNoPermit() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         long first = lastNumber;
-        desk.goOnWithUnanswered(SETTLED + PermitDesk.TIMEOUT_MILLIS);
-        desk.granted(first, new PermitGrant(1, 0), SETTLED + 3_000);
-        assertThat(desk.limits().takes(LIFE, SETTLED + 3_000)).isFalse();
+        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitDesk.TIMEOUT_MILLIS);
+        coordinator.granted(first, new PermitGrant(1, 0), AFTER_VIEW_PROPAGATION + 3_000);
+        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 3_000))
+                .isFalse();
     }
 
     @Test
-    public void whereNoOwnerIsReachedNothingIsSent() {
-        PermitDesk desk = desk(ORDER.get(2), Set.of());
-        limit(desk, 1, SETTLED);
-        desk.wanted(LIFE, SETTLED);
+    public void noRequestIsPlacedIfNoOwnerCanBeReached() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), Set.of());
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         assertThat(sent).isEmpty();
-        assertThat(desk.limits().takes(LIFE, SETTLED)).isFalse();
-        assertThat(desk.limits().turnMillis(LIFE, SETTLED)).isEqualTo(LimitedBackends.ASK_AGAIN_MILLIS);
+        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION))
+                .isFalse();
+        assertThat(coordinator.limits().turnMillis(INCARNATION, AFTER_VIEW_PROPAGATION))
+                .isEqualTo(LimitedBackends.RETRY_MILLIS);
     }
 
     @Test
-    public void anOwnerThatIsAskedHeedsTheLimitItself() {
-        PermitDesk desk = desk(ORDER.get(0), ALL);
-        desk.asked(ORDER.get(2), new PermitAsk(new LimitNews(LIFE, 1, 20, 10), 1), SETTLED);
-        assertThat(desk.limits().isLimited(LIFE)).isTrue();
+    public void anOwnerRecordsTheLimitInAPermitRequest() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        coordinator.asked(
+                ENTRIES_BY_RANK.get(2),
+                new PermitAsk(new LimitNews(INCARNATION, 1, 20, 10), 1),
+                AFTER_VIEW_PROPAGATION);
+        assertThat(coordinator.limits().isLimited(INCARNATION)).isTrue();
     }
 
     @Test
-    public void ownersHearOfALimitAndOfItsEnd() {
-        PermitDesk desk = desk(ORDER.get(2), ALL);
-        limit(desk, 1, SETTLED);
-        desk.answered(LIFE, LimitWord.NONE, SETTLED + 1, SETTLED + 20);
+    public void ownersReceiveUpdatesOnALimitAndItsEnd() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.answered(INCARNATION, LimitWord.NONE, AFTER_VIEW_PROPAGATION + 1, AFTER_VIEW_PROPAGATION + 20);
         assertThat(sent)
                 .containsExactly(
-                        "tell " + ORDER.get(0) + " 1.0",
-                        "tell " + ORDER.get(1) + " 1.0",
-                        "tell " + ORDER.get(0) + " Infinity",
-                        "tell " + ORDER.get(1) + " Infinity");
+                        "update " + ENTRIES_BY_RANK.get(0) + " 1.0",
+                        "update " + ENTRIES_BY_RANK.get(1) + " 1.0",
+                        "update " + ENTRIES_BY_RANK.get(0) + " Infinity",
+                        "update " + ENTRIES_BY_RANK.get(1) + " Infinity");
     }
 
     @Test
-    public void newsOfYesterdayDoesNotEndALimit() {
-        PermitDesk desk = desk(ORDER.get(0), ALL);
-        limit(desk, 1, SETTLED);
-        desk.told(ORDER.get(2), new LimitNews(LIFE, NamedLimit.UNLIMITED, 500, 400), SETTLED + 100);
-        desk.wanted(LIFE, SETTLED + 100);
-        assertThat(desk.limits().takes(LIFE, SETTLED + 100)).isFalse();
+    public void anOutdatedUpdateDoesNotEndALimit() {
+        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
+        coordinator.told(
+                ENTRIES_BY_RANK.get(2),
+                new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 500, 400),
+                AFTER_VIEW_PROPAGATION + 100);
+        coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
+        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
+                .isFalse();
     }
 
-    private PermitDesk desk(String own, Set<String> connected) {
-        PermitDesk desk = new PermitDesk(own, new Link(), new SilentLimitEvents());
-        desk.entries(ALL, connected, 0);
-        desk.entries(ALL, connected, SETTLED);
-        return desk;
+    private PermitDesk coordinator(String ownName, Set<String> connected) {
+        PermitDesk coordinator = new PermitDesk(ownName, new RecordingLink(), new NoOpLimitEvents());
+        coordinator.entries(ENTRIES, connected, 0);
+        coordinator.entries(ENTRIES, connected, AFTER_VIEW_PROPAGATION);
+        return coordinator;
     }
 
-    private static void limit(PermitDesk desk, double perSecond, long nowMillis) {
-        desk.answered(LIFE, LimitWord.named(perSecond), nowMillis - 50, nowMillis);
+    private static void announceLimit(PermitDesk coordinator, double perSecond, long nowMillis) {
+        coordinator.answered(INCARNATION, LimitWord.named(perSecond), nowMillis - 50, nowMillis);
     }
 
-    private final class Link implements PermitLink {
+    private final class RecordingLink implements PermitLink {
         @Override
         public void ask(String entry, long number, PermitAsk ask) {
             lastNumber = number;
@@ -121,8 +133,8 @@
         }
 
         @Override
-        public void tell(String entry, LimitNews news) {
-            sent.add("tell " + entry + " " + news.perSecond());
+        public void tell(String entry, LimitNews update) {
+            sent.add("update " + entry + " " + update.perSecond());
         }
     }
 }
--- a/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 public class PermitIssuerTest {
-    private static final String LIFE = "i-1@1";
+    private static final String INCARNATION = "i-1@1";
 
     private PermitIssuer issuer;
 
@@ -22,11 +22,11 @@
     }
 
     @Test(dataProvider = "limits")
-    public void inAnyFourSecondsOneMoreThanTheLimitAllowsIsIssuedAtMost(double perSecond) {
+    public void anyFourSecondsHoldAtMostOneBatchMoreThanTheLimitAllows(double perSecond) {
         PermitIssuer fresh = new PermitIssuer();
         int[] issued = new int[20_000];
         for (int now = 0; now < issued.length; now += 7) {
-            issued[now] = fresh.ask(ask(perSecond, 0, 0, 64), 1, now).count();
+            issued[now] = fresh.answer(ask(perSecond, 0, 0, 64), 1, now).count();
         }
         double batch = Math.max(1, perSecond * PermitIssuer.BATCH_MILLIS / 1_000);
         int inWindow = 0;
@@ -38,53 +38,53 @@
     }
 
     @Test
-    public void aServerThatTakesNothingGetsOneNowAndThen() {
+    public void aServerWithALimitOfZeroReceivesPermitsAtTheMinimumRate() {
         int issued = 0;
         for (int now = 0; now < 100_000; now += 50) {
-            issued += issuer.ask(ask(0, 0, 0, 1), 1, now).count();
+            issued += issuer.answer(ask(0, 0, 0, 1), 1, now).count();
         }
         assertThat(issued).isBetween(20, 25);
     }
 
     @Test
-    public void thoseWhoWaitAreToldTurnsOneAfterTheOther() {
-        assertThat(issuer.ask(ask(1, 0, 0, 1), 1, 0)).isEqualTo(PermitGrant.none(1_000));
-        assertThat(issuer.ask(ask(1, 0, 0, 1), 1, 0)).isEqualTo(PermitGrant.none(2_000));
-        assertThat(issuer.ask(ask(1, 0, 0, 1), 1, 1_000)).isEqualTo(new PermitGrant(1, 0));
+    public void waitingEntriesAreAssignedSuccessiveTimes() {
+        assertThat(issuer.answer(ask(1, 0, 0, 1), 1, 0)).isEqualTo(PermitGrant.none(1_000));
+        assertThat(issuer.answer(ask(1, 0, 0, 1), 1, 0)).isEqualTo(PermitGrant.none(2_000));
+        assertThat(issuer.answer(ask(1, 0, 0, 1), 1, 1_000)).isEqualTo(new PermitGrant(1, 0));
     }
 
     @Test
-    public void aSmallerLimitHoldsFromNowOn() {
-        issuer.ask(ask(8, 0, 0, 1), 1, 0);
-        PermitGrant grant = issuer.ask(ask(0.5, 0, 0, 1), 1, 200);
+    public void aSmallerLimitAppliesAtOnce() {
+        issuer.answer(ask(8, 0, 0, 1), 1, 0);
+        PermitGrant grant = issuer.answer(ask(0.5, 0, 0, 1), 1, 200);
         assertThat(grant).isEqualTo(PermitGrant.none(2_000));
     }
 
     @Test
-    public void afterTheEndOfALimitThePaceGrowsWithEachConfirmingAnswer() {
-        issuer.ask(ask(0.05, 0, 0, 1), 1, 0);
-        issuer.hear(new LimitNews(LIFE, NamedLimit.UNLIMITED, 50, 0), 1_000);
-        assertThat(issuer.binds(LIFE)).isFalse();
-        assertThat(issuer.ask(ask(0.05, 1_000, 1_000, 1), 1, 1_000).count())
-                .as("one that tries")
+    public void afterTheEndOfALimitTheRateGrowsWithEachConfirmingAnswer() {
+        issuer.answer(ask(0.05, 0, 0, 1), 1, 0);
+        issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 50, 0), 1_000);
+        assertThat(issuer.isInForce(INCARNATION)).isFalse();
+        assertThat(issuer.answer(ask(0.05, 1_000, 1_000, 1), 1, 1_000).count())
+                .as("the first permit after the end of the limit")
                 .isEqualTo(1);
-        assertThat(issuer.ask(ask(0.05, 1_100, 1_100, 1), 1, 1_100).count()).isZero();
+        assertThat(issuer.answer(ask(0.05, 1_100, 1_100, 1), 1, 1_100).count()).isZero();
         for (int now = 1_200; now < 3_000; now += 100) {
-            issuer.hear(new LimitNews(LIFE, NamedLimit.UNLIMITED, 50, 0), now);
+            issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 50, 0), now);
         }
-        assertThat(issuer.ask(ask(0.05, 3_000, 3_000, 1), 1, 3_000).count()).isEqualTo(1);
-        assertThat(issuer.ask(ask(0.05, 3_010, 3_010, 1), 1, 3_010).count()).isEqualTo(1);
+        assertThat(issuer.answer(ask(0.05, 3_000, 3_000, 1), 1, 3_000).count()).isEqualTo(1);
+        assertThat(issuer.answer(ask(0.05, 3_010, 3_010, 1), 1, 3_010).count()).isEqualTo(1);
     }
 
     @Test
-    public void aLimitThatWasHeardAfterTheEndBindsAgain() {
-        issuer.ask(ask(1, 0, 0, 1), 1, 0);
-        issuer.hear(new LimitNews(LIFE, NamedLimit.UNLIMITED, 10, 0), 1_000);
-        issuer.ask(ask(1, 200, 5, 1), 1, 1_100);
-        assertThat(issuer.binds(LIFE)).isTrue();
+    public void aLimitReceivedAfterTheEndIsInForceAgain() {
+        issuer.answer(ask(1, 0, 0, 1), 1, 0);
+        issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 10, 0), 1_000);
+        issuer.answer(ask(1, 200, 5, 1), 1, 1_100);
+        assertThat(issuer.isInForce(INCARNATION)).isTrue();
     }
 
     private static PermitAsk ask(double perSecond, long sentAgeMillis, long heardAgeMillis, int wanted) {
-        return new PermitAsk(new LimitNews(LIFE, perSecond, sentAgeMillis, heardAgeMillis), wanted);
+        return new PermitAsk(new LimitNews(INCARNATION, perSecond, sentAgeMillis, heardAgeMillis), wanted);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/permit/PermitOwnersTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitOwnersTest.java
@@ -8,60 +8,62 @@
 import org.testng.annotations.Test;
 
 public class PermitOwnersTest {
-    private static final String LIFE = "i-1@1";
-    private static final Set<String> ALL = Set.of("a", "b", "c", "d");
-    private static final List<String> ORDER = RendezvousHash.order(LIFE, ALL);
+    private static final String INCARNATION = "i-1@1";
+    private static final Set<String> ENTRIES = Set.of("a", "b", "c", "d");
+    private static final List<String> ENTRIES_BY_RANK = RendezvousHash.order(INCARNATION, ENTRIES);
 
     @Test
-    public void noEntryOwnsPermitsBeforeItKnowsTheOthers() {
+    public void anEntryOwnsNoPermitsBeforeItHasReadTheMembers() {
         PermitOwners owners = new PermitOwners("a");
-        assertThat(owners.of(LIFE)).isEmpty();
-        assertThat(owners.share(LIFE)).isZero();
+        assertThat(owners.ownersOf(INCARNATION)).isEmpty();
+        assertThat(owners.shareOf(INCARNATION)).isZero();
     }
 
     @Test
-    public void theFirstIssuesTheWholeLimitOnceItsViewHasSettled() {
-        PermitOwners owners = new PermitOwners(ORDER.get(0));
-        owners.entries(ALL, false, 0);
-        assertThat(owners.share(LIFE)).isEqualTo(PermitOwners.SMALL_SHARE);
-        owners.entries(ALL, false, PermitOwners.SETTLED_MILLIS + 1);
-        assertThat(owners.share(LIFE)).isEqualTo(1);
+    public void theFirstOwnerIssuesTheWholeLimitAfterViewPropagation() {
+        PermitOwners owners = new PermitOwners(ENTRIES_BY_RANK.get(0));
+        owners.setEntries(ENTRIES, false, 0);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(PermitOwners.SMALL_SHARE);
+        owners.setEntries(ENTRIES, false, PermitOwners.VIEW_PROPAGATION_MILLIS + 1);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(1);
     }
 
     @Test
-    public void theSecondIssuesAPartAndOthersNothing() {
-        assertThat(settled(ORDER.get(1)).share(LIFE)).isEqualTo(PermitOwners.SMALL_SHARE);
-        assertThat(settled(ORDER.get(2)).share(LIFE)).isZero();
+    public void theSecondOwnerIssuesTheSmallShareAndOtherEntriesNothing() {
+        assertThat(ownersAfterViewPropagation(ENTRIES_BY_RANK.get(1)).shareOf(INCARNATION))
+                .isEqualTo(PermitOwners.SMALL_SHARE);
+        assertThat(ownersAfterViewPropagation(ENTRIES_BY_RANK.get(2)).shareOf(INCARNATION))
+                .isZero();
     }
 
     @Test
-    public void anEntryThatReachesNoOtherIssuesAPart() {
-        PermitOwners owners = settled(ORDER.get(0));
-        owners.entries(ALL, true, 20_001);
-        assertThat(owners.share(LIFE)).isEqualTo(PermitOwners.SMALL_SHARE);
+    public void anIsolatedOwnerIssuesTheSmallShare() {
+        PermitOwners owners = ownersAfterViewPropagation(ENTRIES_BY_RANK.get(0));
+        owners.setEntries(ENTRIES, true, 20_001);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(PermitOwners.SMALL_SHARE);
     }
 
     @Test
-    public void oneThatHasBecomeTheFirstIssuesAPartUntilAllViewsHaveFollowed() {
-        PermitOwners owners = settled(ORDER.get(1));
-        Set<String> left = Set.of(ORDER.get(1), ORDER.get(2), ORDER.get(3));
-        owners.entries(left, false, 20_000);
-        assertThat(owners.share(LIFE)).isEqualTo(PermitOwners.SMALL_SHARE);
-        owners.entries(left, false, 20_001 + PermitOwners.SETTLED_MILLIS);
-        assertThat(owners.share(LIFE)).isEqualTo(1);
+    public void aNewFirstOwnerIssuesTheSmallShareUntilViewPropagation() {
+        PermitOwners owners = ownersAfterViewPropagation(ENTRIES_BY_RANK.get(1));
+        Set<String> remaining = Set.of(ENTRIES_BY_RANK.get(1), ENTRIES_BY_RANK.get(2), ENTRIES_BY_RANK.get(3));
+        owners.setEntries(remaining, false, 20_000);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(PermitOwners.SMALL_SHARE);
+        owners.setEntries(remaining, false, 20_001 + PermitOwners.VIEW_PROPAGATION_MILLIS);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(1);
     }
 
     @Test
-    public void aChangeThatLeavesTheFirstInItsPlaceCostsItNothing() {
-        PermitOwners owners = settled(ORDER.get(0));
-        owners.entries(Set.of(ORDER.get(0), ORDER.get(1)), false, 20_000);
-        assertThat(owners.share(LIFE)).isEqualTo(1);
+    public void aMembershipChangeThatKeepsTheFirstOwnerKeepsItsShare() {
+        PermitOwners owners = ownersAfterViewPropagation(ENTRIES_BY_RANK.get(0));
+        owners.setEntries(Set.of(ENTRIES_BY_RANK.get(0), ENTRIES_BY_RANK.get(1)), false, 20_000);
+        assertThat(owners.shareOf(INCARNATION)).isEqualTo(1);
     }
 
-    private static PermitOwners settled(String own) {
+    private static PermitOwners ownersAfterViewPropagation(String own) {
         PermitOwners owners = new PermitOwners(own);
-        owners.entries(ALL, false, 0);
-        owners.entries(ALL, false, PermitOwners.SETTLED_MILLIS + 1);
+        owners.setEntries(ENTRIES, false, 0);
+        owners.setEntries(ENTRIES, false, PermitOwners.VIEW_PROPAGATION_MILLIS + 1);
         return owners;
     }
 }
