--- a/core/src/main/java/org/streamring/kernel/suspect/Evidence.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/Evidence.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What is known of one request: which servers ended while they ran it, and what speaks against it as the cause. */
+/** Crashes recorded for one request: servers that ended while they ran it, and those for which it is cleared. */
 final class Evidence {
     private final Map<String, Integer> crashes = new HashMap<>();
     private final Set<String> cleared = new HashSet<>();
     private long lastCrashMillis;
 
-    /** Creates one without a crash, which is kept as long as if there had been one now. */
+    /** Creates an instance without crashes, which is kept as long as if a crash had just been recorded. */
     Evidence(long nowMillis) {
         lastCrashMillis = nowMillis;
     }
 
     /**
-     * Adds a crash; one that is known already changes nothing.
+     * Adds a crash. A server that is recorded already only keeps the later of the two rounds.
      *
-     * @param round the round of attempts in which it was sent
-     * @return whether it is news
+     * @param round round of attempts in which the request was sent to the server
+     * @return whether the crash was not recorded before
      */
     boolean add(String server, int round, long nowMillis) {
         boolean isNew = !crashes.containsKey(server);
@@ -31,51 +31,52 @@
         return isNew;
     }
 
-    /** Takes a crash back, as the server has not ended. */
-    void takeBack(String server) {
+    /** Removes a crash, as the server has not ended. */
+    void remove(String server) {
         crashes.remove(server);
     }
 
-    /** Clears the request of crashes; it may be known to be innocent of those before they are told. */
+    /** Clears the request of the given crashes, including crashes that are reported only later. */
     void clear(Set<String> servers) {
         cleared.addAll(servers);
     }
 
-    /** Clears the request of all that is known so far. */
+    /** Clears the request of all crashes recorded so far. */
     void clearAll() {
         cleared.addAll(crashes.keySet());
     }
 
-    /** Servers that ended under the request, and of which it was not cleared. */
-    Set<String> open() {
-        Set<String> open = new HashSet<>(crashes.keySet());
-        open.removeAll(cleared);
-        return open;
+    /** Returns the servers that ended while running the request and for which it was not cleared. */
+    Set<String> uncleared() {
+        Set<String> uncleared = new HashSet<>(crashes.keySet());
+        uncleared.removeAll(cleared);
+        return uncleared;
     }
 
-    /** Number of servers that ended under the request, and of which it was not cleared. */
-    int openCount() {
-        return open().size();
+    /** Returns the number of servers that ended while running the request and for which it was not cleared. */
+    int unclearedCount() {
+        return uncleared().size();
     }
 
-    /** The latest round of attempts in which a server ended, 0 if none did. */
+    /** Returns the latest round of attempts with a crash for which the request was not cleared; 0 if there is none. */
     int lastRound() {
-        return open().stream().mapToInt(crashes::get).max().orElse(0);
+        return uncleared().stream().mapToInt(crashes::get).max().orElse(0);
     }
 
     /**
-     * Crashes that speak against the request: those of earlier rounds, and one of the last. A popular request runs on
-     * many servers at once, and these may end together for another reason.
+     * Returns the number of crashes counted against the request: all of earlier rounds, and at most one of the last
+     * round. A popular request runs on many servers at once, and these may end together for another reason.
      */
-    int weight() {
+    int countedCrashes() {
         int last = lastRound();
-        long earlier =
-                open().stream().filter(server -> crashes.get(server) < last).count();
+        long earlier = uncleared().stream()
+                .filter(server -> crashes.get(server) < last)
+                .count();
         return (int) earlier + Math.min(1, last);
     }
 
-    /** Servers that ended under the request, cleared ones too. */
-    Set<String> all() {
+    /** Returns all servers that ended while running the request, including those for which it was cleared. */
+    Set<String> allServers() {
         return Set.copyOf(crashes.keySet());
     }
 
--- a/core/src/main/java/org/streamring/kernel/suspect/RecentAnswers.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/RecentAnswers.java
@@ -3,32 +3,32 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which requests were answered whole a short while ago. Confined to one thread. */
+/** Requests that recently received a complete answer. Confined to one thread. */
 final class RecentAnswers {
-    private final long speakMillis;
-    private final int most;
-    /** The longest ago first. */
+    private final long protectionMillis;
+    private final int maxAnswers;
+    /** Times of the answers, the oldest first. */
     private final Map<RequestDigest, Long> answered = new LinkedHashMap<>();
 
     /**
-     * Creates one.
+     * Creates an instance without answers.
      *
-     * @param speakMillis how long an answer speaks for its request
-     * @param most answers that are remembered
+     * @param protectionMillis how long an answer protects its request from suspicion, in milliseconds
+     * @param maxAnswers maximum number of answers kept
      */
-    RecentAnswers(long speakMillis, int most) {
-        this.speakMillis = speakMillis;
-        this.most = most;
+    RecentAnswers(long protectionMillis, int maxAnswers) {
+        this.protectionMillis = protectionMillis;
+        this.maxAnswers = maxAnswers;
     }
 
     void add(RequestDigest request, long nowMillis) {
         answered.remove(request);
         answered.put(request, nowMillis);
-        dropOldest(nowMillis - speakMillis);
+        dropOldest(nowMillis - protectionMillis);
     }
 
     private void dropOldest(long oldestMillis) {
-        while (answered.size() > most || oldestAnswer() <= oldestMillis) {
+        while (answered.size() > maxAnswers || oldestAnswer() <= oldestMillis) {
             answered.remove(answered.keySet().iterator().next());
         }
     }
@@ -39,9 +39,9 @@
                 : answered.values().iterator().next();
     }
 
-    /** Whether a whole answer speaks for a request. */
-    boolean speakFor(RequestDigest request, long nowMillis) {
+    /** Returns whether a request received a complete answer within the protection time. */
+    boolean protects(RequestDigest request, long nowMillis) {
         Long last = answered.get(request);
-        return last != null && last > nowMillis - speakMillis;
+        return last != null && last > nowMillis - protectionMillis;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/suspect/RequestDigest.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/RequestDigest.java
@@ -1,8 +1,8 @@
 package org.streamring.kernel.suspect;
 
 /**
- * What a request is known by when it comes again: a keyed digest of its path, client account and body.
+ * Identity of a request across repetitions: a keyed digest of its path, client account and body.
  *
- * @param text the digest as letters and digits, fit for rows and log lines
+ * @param text the digest in URL-safe Base64, suitable for rows and log lines
  */
 public record RequestDigest(String text) {}
--- a/core/src/main/java/org/streamring/kernel/suspect/RequestDigester.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/RequestDigester.java
@@ -9,17 +9,17 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Computes digests of requests. All entries use the same secret, so that each of them knows a request again; without
- * the secret nobody can tell from a digest what a body said. Confined to one thread.
+ * Computes digests of requests. All entries use the same secret and therefore compute the same digest for a request.
+ * Without the secret, a digest reveals nothing about the body. Confined to one thread.
  */
 public final class RequestDigester {
     private static final String ALGORITHM = "HmacSHA256";
-    /** Of the 32 bytes of the whole digest; two requests of a million share one with a probability below 1e-16. */
+    /** Length kept of the 32-byte digest; the probability that any two of a million requests collide is below 1e-16. */
     private static final int KEPT_BYTES = 12;
 
     private final Mac mac;
 
-    /** Creates one with the secret that all entries share. */
+    /** Creates a digester with the secret that all entries share. */
     public RequestDigester(byte[] secret) {
         try {
             mac = Mac.getInstance(ALGORITHM);
@@ -32,19 +32,19 @@
     /**
      * Computes the digest of a request.
      *
-     * @param path its path with the query
-     * @param account name of its client account; empty if it has none
+     * @param path path of the request, including the query
+     * @param account name of the client account; empty if there is none
      */
     public RequestDigest digest(String path, String account, byte[] body) {
-        part(path.getBytes(StandardCharsets.UTF_8));
-        part(account.getBytes(StandardCharsets.UTF_8));
-        part(body);
+        addPart(path.getBytes(StandardCharsets.UTF_8));
+        addPart(account.getBytes(StandardCharsets.UTF_8));
+        addPart(body);
         byte[] kept = Arrays.copyOf(mac.doFinal(), KEPT_BYTES);
         return new RequestDigest(Base64.getUrlEncoder().withoutPadding().encodeToString(kept));
     }
 
-    /** Each part follows its length, so that no two lists of parts run into the same bytes. */
-    private void part(byte[] bytes) {
+    /** Adds a part preceded by its length, so that different lists of parts never yield the same bytes. */
+    private void addPart(byte[] bytes) {
         mac.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
         mac.update(bytes);
     }
--- a/core/src/main/java/org/streamring/kernel/suspect/SuspectEvents.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/SuspectEvents.java
@@ -2,11 +2,14 @@
 
 import java.util.Set;
 
-/** Hears what a {@link SuspectTable} decides. */
+/** Receives the decisions of a {@link SuspectTable}. */
 public interface SuspectEvents {
-    /** A request is no longer sent, as these servers ended under it. */
+    /** Called when a request is blocked because the given servers ended while running it. */
     void blocked(RequestDigest request, Set<String> servers);
 
-    /** A request is sent again: it was answered whole at some entry, its servers live, or its crashes are long ago. */
+    /**
+     * Called when a request is no longer blocked: an entry received a complete answer to it, its servers turned out to
+     * be alive, or its crashes have expired.
+     */
     void unblocked(RequestDigest request);
 }
--- a/core/src/main/java/org/streamring/kernel/suspect/SuspectReport.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/SuspectReport.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * What one entry has seen of crashes, for all others. Reports only add up, so it does not matter in which order or how
- * often they arrive.
+ * Crashes observed by one entry, for all other entries. Reports are merged by union, so they may arrive in any order
+ * and repeatedly.
  *
- * @param crashes by incarnation of a server that ended, the requests that ran there and the round in which each was
- *     sent: one more than the latest round in which a server was known to have ended under it
- * @param cleared by request, the incarnations of which it is cleared, as it was answered whole elsewhere
+ * @param crashes requests that ran on each server that ended, by incarnation of the server, with the round of attempts
+ *     in which each was sent: one more than the latest round in which a recorded crash occurred under the request
+ * @param cleared incarnations whose crashes don't count against a request, as it was answered completely elsewhere
  */
 public record SuspectReport(Map<String, Map<RequestDigest, Integer>> crashes, Map<RequestDigest, Set<String>> cleared) {
-    /** Copies the maps. */
+    /** Copies the maps, so that the report is immutable. */
     public SuspectReport {
         Map<String, Map<RequestDigest, Integer>> crashesCopy = new HashMap<>();
         crashes.forEach((server, requests) -> crashesCopy.put(server, Map.copyOf(requests)));
@@ -23,7 +23,7 @@
         cleared = Map.copyOf(clearedCopy);
     }
 
-    /** A report that says nothing. */
+    /** Returns a report without crashes. */
     public static SuspectReport empty() {
         return new SuspectReport(Map.of(), Map.of());
     }
--- a/core/src/main/java/org/streamring/kernel/suspect/SuspectTable.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/SuspectTable.java
@@ -9,19 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * Decides which requests are no longer sent, as servers end under them.
+ * Decides which requests are blocked because servers ended while running them.
  *
- * <p>Whatever ran on a server that ended is a suspect, and all entries tell each other which. A request is blocked once
- * enough servers have ended under it, one after the other: a popular request runs on many servers, which may end
- * together for another reason. A whole answer clears a request of the crashes so far and speaks for it for a while. A
- * block ends after a while with a single trial, at one entry. Confined to one thread.
+ * <p>Every request that ran on a server when it ended is a suspect, and the entries report their suspects to each
+ * other. A request is blocked when enough servers have ended under it one after the other; servers that end together
+ * count once, since a popular request runs on many servers, which may end together for another reason. A complete
+ * answer clears a request of its earlier crashes and protects it from suspicion for some time. When a block expires,
+ * one entry sends the request once as a trial. Confined to one thread.
  */
 public final class SuspectTable {
-    /** A request that waits for another entry's trial asks again after this time. */
-    private static final long TRIAL_ELSEWHERE_MILLIS = 1_000;
+    /** Time after which to decide again on a request that waits for a trial, here or at another entry. */
+    private static final long TRIAL_WAIT_MILLIS = 1_000;
 
-    /** One whole answer says that a request which broke off once was not the cause; two or more may have been told. */
-    private static final int CRASHES_WORTH_CLEARING = 2;
+    /** Number of crashes from which a clearance is reported to other entries, which may have received these crashes. */
+    private static final int MIN_CRASHES_TO_REPORT_CLEARED = 2;
 
     private final SuspectLimits limits;
     private final Predicate<RequestDigest> triesHere;
@@ -31,12 +32,12 @@
     private final Map<RequestDigest, Integer> running = new HashMap<>();
     private final Set<RequestDigest> blocked = new HashSet<>();
     private final RecentAnswers answers;
-    private final OwnSightings own = new OwnSightings();
+    private final LocalObservations localObservations = new LocalObservations();
 
     /**
-     * Creates one that suspects nothing.
+     * Creates a table without suspects.
      *
-     * @param triesHere whether a request whose block is over is tried at this entry; true at one entry of the fleet
+     * @param triesHere whether a request is tried at this entry after its block; true at one entry of the fleet
      */
     public SuspectTable(SuspectLimits limits, Predicate<RequestDigest> triesHere, SuspectEvents events) {
         this.limits = limits;
@@ -51,124 +52,124 @@
             return SuspectDecision.UNSUSPECTED;
         }
         Evidence evidence = suspects.get(request);
-        int crashes = evidence.openCount();
-        long left = evidence.lastCrashMillis() + limits.blockMillis(crashes) - nowMillis;
-        if (left > 0) {
-            return new SuspectDecision(false, crashes, left);
+        int crashes = evidence.unclearedCount();
+        long remainingMillis = evidence.lastCrashMillis() + limits.blockMillis(crashes) - nowMillis;
+        if (remainingMillis > 0) {
+            return new SuspectDecision(false, crashes, remainingMillis);
         }
-        boolean tried = running.containsKey(request) || !triesHere.test(request);
-        return new SuspectDecision(!tried, crashes, tried ? TRIAL_ELSEWHERE_MILLIS : 0);
+        boolean mustWait = running.containsKey(request) || !triesHere.test(request);
+        return new SuspectDecision(!mustWait, crashes, mustWait ? TRIAL_WAIT_MILLIS : 0);
     }
 
-    /** Notes that a request is sent to a server; returns the round of its attempts, for {@link #brokeOff}. */
+    /** Records that a request is sent to a server; returns the round of the attempt, for {@link #brokeOff}. */
     public int sent(RequestDigest request) {
         running.merge(request, 1, Integer::sum);
         Evidence evidence = suspects.get(request);
         return evidence == null ? 1 : evidence.lastRound() + 1;
     }
 
-    /** Notes that an attempt of a request is over, in whichever way. */
+    /** Records the end of an attempt, with or without an answer. */
     public void ended(RequestDigest request) {
         running.computeIfPresent(request, (any, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** Notes that a request was answered whole. */
+    /** Records a complete answer to a request. */
     public void answered(RequestDigest request, long nowMillis) {
         answers.add(request, nowMillis);
         Evidence evidence = suspects.get(request);
-        if (evidence != null && evidence.openCount() > 0) {
+        if (evidence != null && evidence.unclearedCount() > 0) {
             clear(request, evidence);
-            review(request);
+            updateBlock(request);
         }
     }
 
     /**
-     * Notes that an attempt broke off; until it is known whether its server has ended, this entry believes so.
+     * Records that an attempt broke off. Its server is assumed to have ended until this is confirmed or refuted.
      *
      * @param server incarnation of the server
-     * @param round what {@link #sent} said of the attempt
-     * @return whether it matters if the server has ended
+     * @param round round that {@link #sent} returned for the attempt
+     * @return whether the crash is recorded, so that it is to be confirmed or refuted
      */
     public boolean brokeOff(RequestDigest request, String server, int round, long nowMillis) {
-        if (answers.speakFor(request, nowMillis)) {
+        if (answers.protects(request, nowMillis)) {
             return false;
         }
         unconfirmed.computeIfAbsent(server, any -> new HashMap<>()).merge(request, round, Math::max);
         add(request, server, round, nowMillis);
-        review(request);
+        updateBlock(request);
         return true;
     }
 
-    /** Notes that a server has ended under the requests that broke off there; returns how many these are. */
+    /** Confirms that a server has ended; returns the number of requests that broke off there. */
     public int confirmed(String server, long nowMillis) {
-        Map<RequestDigest, Integer> requests = takeUnconfirmed(server);
+        Map<RequestDigest, Integer> requests = removeUnconfirmed(server);
         if (!requests.isEmpty()) {
-            own.ended(server, requests, nowMillis);
+            localObservations.ended(server, requests, nowMillis);
         }
         return requests.size();
     }
 
-    /** Notes that a server has not ended; returns how many requests broke off there for another reason. */
+    /** Records that a server has not ended; returns the number of requests that broke off there for another reason. */
     public int refuted(String server) {
-        Map<RequestDigest, Integer> requests = takeUnconfirmed(server);
-        requests.keySet().forEach(request -> takeBack(request, server));
-        requests.keySet().forEach(this::review);
+        Map<RequestDigest, Integer> requests = removeUnconfirmed(server);
+        requests.keySet().forEach(request -> removeCrash(request, server));
+        requests.keySet().forEach(this::updateBlock);
         return requests.size();
     }
 
-    private Map<RequestDigest, Integer> takeUnconfirmed(String server) {
+    private Map<RequestDigest, Integer> removeUnconfirmed(String server) {
         Map<RequestDigest, Integer> requests = unconfirmed.remove(server);
         return requests == null ? Map.of() : requests;
     }
 
-    private void takeBack(RequestDigest request, String server) {
+    private void removeCrash(RequestDigest request, String server) {
         Evidence evidence = suspects.get(request);
         if (evidence != null) {
-            evidence.takeBack(server);
+            evidence.remove(server);
         }
     }
 
-    /** Takes what another entry has seen, or this box before its last start. */
+    /** Merges a report of another entry, or of the previous process on this box. */
     public void heard(SuspectReport report, long nowMillis) {
-        Set<RequestDigest> touched = new HashSet<>(report.cleared().keySet());
+        Set<RequestDigest> affected = new HashSet<>(report.cleared().keySet());
         report.cleared()
                 .forEach((request, servers) -> evidence(request, nowMillis).clear(servers));
         report.crashes()
                 .forEach((server, requests) -> requests.forEach((request, round) -> {
                     boolean isNew = add(request, server, round, nowMillis);
-                    if (isNew && answers.speakFor(request, nowMillis)) {
+                    if (isNew && answers.protects(request, nowMillis)) {
                         clear(request, evidence(request, nowMillis));
                     }
-                    touched.add(request);
+                    affected.add(request);
                 }));
-        touched.forEach(this::review);
+        affected.forEach(this::updateBlock);
     }
 
-    /** What this entry has seen itself, for all others. */
+    /** Returns the observations of this entry, for all other entries. */
     public SuspectReport report() {
-        return own.report();
+        return localObservations.report();
     }
 
-    /** Whether {@link #report} holds what others should know at once. */
+    /** Returns whether {@link #report} contains changes that are to be sent to the other entries immediately. */
     public boolean hasNews() {
-        return own.hasNews();
+        return localObservations.isUrgent();
     }
 
-    /** Whether {@link #report} differs from what it was when it was asked for last. */
+    /** Returns whether {@link #report} has changed since it was last called. */
     public boolean hasChanged() {
-        return own.hasChanged();
+        return localObservations.hasChanged();
     }
 
-    /** Takes over what this box had seen before its last start, so that it goes on telling that. */
+    /** Restores the observations of the previous process on this box, so that they continue to be reported. */
     public void resume(SuspectReport earlier, long nowMillis) {
-        own.resume(earlier, nowMillis);
+        localObservations.resume(earlier, nowMillis);
         heard(earlier, nowMillis);
     }
 
-    /** Forgets what is too old to matter. */
+    /** Removes crashes that are older than the retention period. */
     public void expire(long nowMillis) {
         long oldest = nowMillis - limits.keptMillis();
-        own.expire(oldest);
+        localObservations.expire(oldest);
         List<RequestDigest> old = suspects.entrySet().stream()
                 .filter(entry -> entry.getValue().lastCrashMillis() <= oldest)
                 .map(Map.Entry::getKey)
@@ -176,12 +177,12 @@
         old.forEach(this::forget);
     }
 
-    /** Requests that are under suspicion. */
+    /** Returns the number of suspects. */
     public int suspects() {
         return suspects.size();
     }
 
-    /** Requests that are no longer sent. */
+    /** Returns the number of blocked requests. */
     public int blocked() {
         return blocked.size();
     }
@@ -206,7 +207,7 @@
     private void forgetLeastSuspected() {
         suspects.entrySet().stream()
                 .min(Comparator.comparingInt((Map.Entry<RequestDigest, Evidence> entry) ->
-                                entry.getValue().openCount())
+                                entry.getValue().unclearedCount())
                         .thenComparingLong(entry -> entry.getValue().lastCrashMillis()))
                 .map(Map.Entry::getKey)
                 .ifPresent(this::forget);
@@ -214,32 +215,32 @@
 
     private void clear(RequestDigest request, Evidence evidence) {
         evidence.clearAll();
-        own.forgive(request);
-        if (evidence.all().size() >= CRASHES_WORTH_CLEARING) {
-            own.cleared(request, evidence.all());
+        localObservations.removeRequest(request);
+        if (evidence.allServers().size() >= MIN_CRASHES_TO_REPORT_CLEARED) {
+            localObservations.cleared(request, evidence.allServers());
         }
     }
 
     private void forget(RequestDigest request) {
         suspects.remove(request);
-        own.forgetCleared(request);
+        localObservations.forgetCleared(request);
         if (blocked.remove(request)) {
             events.unblocked(request);
         }
     }
 
-    private void review(RequestDigest request) {
+    private void updateBlock(RequestDigest request) {
         Evidence evidence = suspects.get(request);
-        if (evidence != null && speaksAgainst(evidence)) {
+        if (evidence != null && reachesLimit(evidence)) {
             if (blocked.add(request)) {
-                events.blocked(request, evidence.open());
+                events.blocked(request, evidence.uncleared());
             }
         } else if (blocked.remove(request)) {
             events.unblocked(request);
         }
     }
 
-    private boolean speaksAgainst(Evidence evidence) {
-        return evidence.weight() >= limits.crashes();
+    private boolean reachesLimit(Evidence evidence) {
+        return evidence.countedCrashes() >= limits.crashes();
     }
 }
--- a/core/src/main/java/org/streamring/kernel/suspect/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/package-info.java
@@ -1,4 +1,4 @@
-/** Knows requests again that crash the backend servers which run them, and decides when they are no longer sent. */
+/** Detects requests that crash the backend servers running them, and blocks them. */
 @NullMarked
 package org.streamring.kernel.suspect;
 
--- a/core/src/test/java/org/streamring/kernel/suspect/RequestDigesterTest.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/RequestDigesterTest.java
@@ -10,25 +10,25 @@
     private final RequestDigester digester = new RequestDigester(bytes("secret of the fleet"));
 
     @Test
-    public void theSameRequestIsKnownAgainByWhoeverHasTheSecret() {
+    public void theSameRequestAndSecretGiveTheSameDigest() {
         RequestDigester other = new RequestDigester(bytes("secret of the fleet"));
         assertThat(other.digest("/a", "hotel", bytes("body"))).isEqualTo(digester.digest("/a", "hotel", bytes("body")));
     }
 
     @Test
     public void anotherPathAccountBodyOrSecretGivesAnotherDigest() {
-        RequestDigester stranger = new RequestDigester(bytes("another secret"));
+        RequestDigester otherSecret = new RequestDigester(bytes("another secret"));
         assertThat(Set.of(
                         digester.digest("/a", "hotel", bytes("body")),
                         digester.digest("/b", "hotel", bytes("body")),
                         digester.digest("/a", "motel", bytes("body")),
                         digester.digest("/a", "hotel", bytes("Body")),
-                        stranger.digest("/a", "hotel", bytes("body"))))
+                        otherSecret.digest("/a", "hotel", bytes("body"))))
                 .hasSize(5);
     }
 
     @Test
-    public void bytesThatMoveBetweenPathAccountAndBodyGiveAnotherDigest() {
+    public void movingBytesBetweenPathAccountAndBodyGivesAnotherDigest() {
         assertThat(digester.digest("/ab", "c", bytes("d"))).isNotEqualTo(digester.digest("/a", "bc", bytes("d")));
         assertThat(digester.digest("/a", "", bytes("bc"))).isNotEqualTo(digester.digest("/a", "b", bytes("c")));
     }
--- a/core/src/test/java/org/streamring/kernel/suspect/SuspectFleet.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/SuspectSimulation.java
@@ -10,20 +10,20 @@
 import java.util.TreeMap;
 
 /**
- * A fleet in simulated time whose servers end under one request, and for other reasons too. Entries tell each other
- * through rows that come late at times; entries start again and are cut off.
+ * Simulates a fleet whose servers crash under one request, and also for other reasons. Entries report to each other by
+ * rows that are sometimes delayed; entries restart and are cut off from the store.
  */
-final class SuspectFleet {
+final class SuspectSimulation {
     private static final int ENTRIES = 6;
     private static final int SERVERS = 8;
     private static final long END_MILLIS = 50_000;
     private static final long CRASH_AFTER_MILLIS = 80;
-    private static final long CONFIRMED_AFTER_MILLIS = 22;
-    private static final long TOLD_AFTER_MILLIS = 20;
-    private static final long CONTACT_MILLIS = 3_000;
+    private static final long CONFIRMATION_DELAY_MILLIS = 22;
+    private static final long REPORT_DELAY_MILLIS = 20;
+    private static final long PROPAGATION_MILLIS = 3_000;
     private static final int MAX_ATTEMPTS = 2;
-    private static final long CALLER_BACK_MILLIS = 300;
-    private static final long FORGIVEN_EACH_MILLIS = 1_000;
+    private static final long CALLER_RETRY_MILLIS = 300;
+    private static final long REPORT_INTERVAL_MILLIS = 1_000;
     static final long NEVER = Long.MAX_VALUE / 2;
 
     static final RequestDigest CRASHING = new RequestDigest("crashing");
@@ -37,16 +37,16 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Tally tally = new Tally();
     private long now;
-    private int numbers;
+    private int nextNumber;
 
-    /** What became of the requests. */
+    /** Counts of crashes and of refused or broken-off requests. */
     static final class Tally {
         int crashes;
-        int sentAfterThird;
+        int sentAfterThirdCrash;
         int popularRefused;
-        int othersRefused;
-        int othersBrokenOff;
-        long thirdMillis = NEVER;
+        int otherRequestsRefused;
+        int otherRequestsBrokenOff;
+        long thirdCrashMillis = NEVER;
     }
 
     private record Event(long millis, int number, Runnable run) implements Comparable<Event> {
@@ -59,28 +59,28 @@
     private final class Entry {
         private final int number;
         private SuspectTable table = create();
-        private boolean telling;
+        private boolean reportScheduled;
         private long cutUntil;
-        private long disturbedMillis = -CONTACT_MILLIS;
+        private long disturbedMillis = -PROPAGATION_MILLIS;
 
         Entry(int number) {
             this.number = number;
         }
 
         private SuspectTable create() {
-            return new SuspectTable(limits, request -> number == 0, new Deaf());
+            return new SuspectTable(limits, request -> number == 0, new NoOpSuspectEvents());
         }
 
-        boolean inTouch() {
-            return now >= cutUntil && now - disturbedMillis >= CONTACT_MILLIS;
+        boolean isConnected() {
+            return now >= cutUntil && now - disturbedMillis >= PROPAGATION_MILLIS;
         }
 
-        void disturb() {
+        void markDisturbed() {
             disturbedMillis = now;
         }
     }
 
-    private static final class Deaf implements SuspectEvents {
+    private static final class NoOpSuspectEvents implements SuspectEvents {
         @Override
         public void blocked(RequestDigest request, Set<String> servers) {
             // the tally counts refusals
@@ -94,8 +94,8 @@
 
     private static final class Server {
         private final int number;
-        private int life;
-        private boolean up = true;
+        private int startCount;
+        private boolean alive = true;
         private final Set<Attempt> running = new LinkedHashSet<>();
 
         Server(int number) {
@@ -103,7 +103,7 @@
         }
 
         String incarnation() {
-            return "s-" + number + "@" + life;
+            return "s-" + number + "@" + startCount;
         }
     }
 
@@ -111,23 +111,23 @@
         private final Entry entry;
         private final RequestDigest request;
         private final Server server;
-        private final long lastsMillis;
+        private final long durationMillis;
         private final int number;
         private final int round;
         private final SuspectTable table;
 
-        Attempt(Entry entry, RequestDigest request, Server server, long lastsMillis, int number) {
+        Attempt(Entry entry, RequestDigest request, Server server, long durationMillis, int number) {
             this.entry = entry;
             this.request = request;
             this.server = server;
-            this.lastsMillis = lastsMillis;
+            this.durationMillis = durationMillis;
             this.number = number;
             this.table = entry.table;
             this.round = table.sent(request);
         }
     }
 
-    SuspectFleet(long seed, SuspectLimits limits) {
+    SuspectSimulation(long seed, SuspectLimits limits) {
         this.random = new Random(seed);
         this.limits = limits;
         for (int i = 0; i < ENTRIES; i++) {
@@ -138,16 +138,16 @@
         }
     }
 
-    /** Plays one day. */
-    Tally play() {
-        every(() -> 300 + random.nextInt(600), () -> request(CRASHING, CRASH_AFTER_MILLIS));
-        every(() -> 20 + random.nextInt(60), () -> request(POPULAR, 200 + random.nextInt(400)));
-        every(() -> 10 + random.nextInt(40), this::single);
-        every(() -> 4_000 + random.nextInt(4_000), () -> end(anyServer()));
+    /** Runs the simulation. */
+    Tally run() {
+        every(() -> 300 + random.nextInt(600), () -> sendFromRandomEntry(CRASHING, CRASH_AFTER_MILLIS));
+        every(() -> 20 + random.nextInt(60), () -> sendFromRandomEntry(POPULAR, 200 + random.nextInt(400)));
+        every(() -> 10 + random.nextInt(40), this::sendSingleRequest);
+        every(() -> 4_000 + random.nextInt(4_000), () -> end(randomServer()));
         every(() -> 12_000 + random.nextInt(12_000), this::endThree);
         every(() -> 5_000 + random.nextInt(5_000), this::restart);
         every(() -> 5_000 + random.nextInt(5_000), this::cutOff);
-        every(() -> (int) FORGIVEN_EACH_MILLIS, () -> entries.forEach(this::tellSoon));
+        every(() -> (int) REPORT_INTERVAL_MILLIS, () -> entries.forEach(this::scheduleReport));
         while (now < END_MILLIS && !events.isEmpty()) {
             Event next = events.poll();
             now = next.millis();
@@ -156,142 +156,142 @@
         return tally;
     }
 
-    private void every(java.util.function.IntSupplier pause, Runnable action) {
-        after(pause.getAsInt(), () -> {
+    private void every(java.util.function.IntSupplier interval, Runnable action) {
+        after(interval.getAsInt(), () -> {
             action.run();
-            every(pause, action);
+            every(interval, action);
         });
     }
 
     private void after(long millis, Runnable action) {
-        events.add(new Event(now + millis, numbers++, action));
+        events.add(new Event(now + millis, nextNumber++, action));
     }
 
-    private void single() {
-        request(new RequestDigest("single-" + numbers), 200 + random.nextInt(4_000));
+    private void sendSingleRequest() {
+        sendFromRandomEntry(new RequestDigest("single-" + nextNumber), 200 + random.nextInt(4_000));
     }
 
-    private void request(RequestDigest request, long lastsMillis) {
-        send(entries.get(random.nextInt(ENTRIES)), request, lastsMillis, 1);
+    private void sendFromRandomEntry(RequestDigest request, long durationMillis) {
+        send(entries.get(random.nextInt(ENTRIES)), request, durationMillis, 1);
     }
 
-    private void send(Entry entry, RequestDigest request, long lastsMillis, int number) {
+    private void send(Entry entry, RequestDigest request, long durationMillis, int number) {
         if (!entry.table.decide(request, now).sends()) {
-            refused(request);
+            countRefusal(request);
             return;
         }
-        Server server = anyServer();
-        if (!server.up) {
+        Server server = randomServer();
+        if (!server.alive) {
             return;
         }
-        if (request.equals(CRASHING) && now > tally.thirdMillis + CONTACT_MILLIS && entry.inTouch()) {
-            tally.sentAfterThird++;
+        if (request.equals(CRASHING) && now > tally.thirdCrashMillis + PROPAGATION_MILLIS && entry.isConnected()) {
+            tally.sentAfterThirdCrash++;
         }
-        Attempt attempt = new Attempt(entry, request, server, lastsMillis, number);
+        Attempt attempt = new Attempt(entry, request, server, durationMillis, number);
         server.running.add(attempt);
-        after(lastsMillis, () -> over(attempt));
+        after(durationMillis, () -> finish(attempt));
     }
 
-    private void refused(RequestDigest request) {
+    private void countRefusal(RequestDigest request) {
         if (request.equals(POPULAR)) {
             tally.popularRefused++;
         } else if (!request.equals(CRASHING)) {
-            tally.othersRefused++;
+            tally.otherRequestsRefused++;
         }
     }
 
-    private void over(Attempt attempt) {
+    private void finish(Attempt attempt) {
         if (!attempt.server.running.contains(attempt)) {
             return;
         }
         if (attempt.request.equals(CRASHING)) {
             tally.crashes++;
-            tally.thirdMillis = tally.crashes == 3 ? now : tally.thirdMillis;
+            tally.thirdCrashMillis = tally.crashes == 3 ? now : tally.thirdCrashMillis;
             end(attempt.server);
             return;
         }
         attempt.server.running.remove(attempt);
         attempt.table.ended(attempt.request);
         attempt.table.answered(attempt.request, now);
-        tellNews(attempt.entry);
+        scheduleUrgentReport(attempt.entry);
     }
 
     private void end(Server server) {
-        if (!server.up) {
+        if (!server.alive) {
             return;
         }
-        server.up = false;
+        server.alive = false;
         List<Attempt> broken = List.copyOf(server.running);
         server.running.clear();
         String ended = server.incarnation();
-        Set<Entry> saw = new LinkedHashSet<>();
+        Set<Entry> observers = new LinkedHashSet<>();
         for (Attempt attempt : broken) {
             attempt.table.ended(attempt.request);
             attempt.table.brokeOff(attempt.request, ended, attempt.round, now);
-            saw.add(attempt.entry);
+            observers.add(attempt.entry);
         }
-        saw.forEach(entry -> confirm(entry, entry.table, ended));
+        observers.forEach(entry -> confirm(entry, entry.table, ended));
         broken.forEach(this::retry);
         after(1_000 + random.nextInt(2_000), () -> {
-            server.life++;
-            server.up = true;
+            server.startCount++;
+            server.alive = true;
         });
     }
 
-    /** The entry tries once more; after that the caller comes back to any entry. */
+    /** Lets the entry retry once; after that, the caller retries at a random entry. */
     private void retry(Attempt attempt) {
-        tally.othersBrokenOff += attempt.request.equals(CRASHING) ? 0 : 1;
+        tally.otherRequestsBrokenOff += attempt.request.equals(CRASHING) ? 0 : 1;
         if (attempt.number < MAX_ATTEMPTS && attempt.table.equals(attempt.entry.table)) {
-            send(attempt.entry, attempt.request, attempt.lastsMillis, attempt.number + 1);
+            send(attempt.entry, attempt.request, attempt.durationMillis, attempt.number + 1);
         } else if (!attempt.request.equals(CRASHING)) {
-            after(CALLER_BACK_MILLIS, () -> request(attempt.request, attempt.lastsMillis));
+            after(CALLER_RETRY_MILLIS, () -> sendFromRandomEntry(attempt.request, attempt.durationMillis));
         }
     }
 
     private void confirm(Entry entry, SuspectTable table, String ended) {
-        after(CONFIRMED_AFTER_MILLIS, () -> {
+        after(CONFIRMATION_DELAY_MILLIS, () -> {
             table.confirmed(ended, now);
-            tellSoon(entry);
+            scheduleReport(entry);
         });
     }
 
-    private void tellNews(Entry entry) {
+    private void scheduleUrgentReport(Entry entry) {
         if (entry.table.hasNews()) {
-            tellSoon(entry);
+            scheduleReport(entry);
         }
     }
 
-    private void tellSoon(Entry entry) {
-        if (!entry.telling) {
-            entry.telling = true;
-            after(TOLD_AFTER_MILLIS, () -> tell(entry));
+    private void scheduleReport(Entry entry) {
+        if (!entry.reportScheduled) {
+            entry.reportScheduled = true;
+            after(REPORT_DELAY_MILLIS, () -> writeReport(entry));
         }
     }
 
-    /** A cut holds the row up; the store is slow at times. */
-    private void tell(Entry entry) {
+    /** Writes the row of an entry, delayed while the entry is cut off or the store is slow. */
+    private void writeReport(Entry entry) {
         if (now < entry.cutUntil) {
-            after(100, () -> tell(entry));
+            after(100, () -> writeReport(entry));
             return;
         }
-        entry.telling = false;
+        entry.reportScheduled = false;
         if (!entry.table.hasChanged()) {
             return;
         }
         SuspectReport report = entry.table.report();
         after(4 + random.nextInt(60), () -> {
             rows.put(entry.number, report);
-            entries.forEach(other -> hearSoon(other, report));
+            entries.forEach(other -> scheduleReceipt(other, report));
         });
     }
 
-    private void hearSoon(Entry entry, SuspectReport report) {
+    private void scheduleReceipt(Entry entry, SuspectReport report) {
         after(4 + random.nextInt(100), () -> {
             if (now < entry.cutUntil) {
-                hearSoon(entry, report);
+                scheduleReceipt(entry, report);
             } else {
                 entry.table.heard(report, now);
-                tellNews(entry);
+                scheduleUrgentReport(entry);
             }
         });
     }
@@ -305,7 +305,7 @@
 
     private void restart() {
         Entry entry = entries.get(random.nextInt(ENTRIES));
-        entry.disturb();
+        entry.markDisturbed();
         entry.table = entry.create();
         servers.forEach(server -> server.running.removeIf(attempt -> attempt.entry.equals(entry)));
         rows.forEach((number, report) -> {
@@ -320,10 +320,10 @@
     private void cutOff() {
         Entry entry = entries.get(random.nextInt(ENTRIES));
         entry.cutUntil = now + 500 + random.nextInt(5_000);
-        after(entry.cutUntil - now, entry::disturb);
+        after(entry.cutUntil - now, entry::markDisturbed);
     }
 
-    private Server anyServer() {
+    private Server randomServer() {
         return servers.get(random.nextInt(SERVERS));
     }
 }
--- a/core/src/test/java/org/streamring/kernel/suspect/SuspectTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/SuspectTableTest.java
@@ -12,31 +12,31 @@
     private static final SuspectLimits LIMITS = new SuspectLimits(3, 60_000, 480_000, 600_000, 30_000, 4, 8);
     private static final RequestDigest REQUEST = new RequestDigest("request");
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private boolean triesHere;
     private SuspectTable table;
-    private SuspectTable other;
+    private SuspectTable otherEntry;
 
     @BeforeMethod
     public void setUp() {
-        told.clear();
+        events.clear();
         triesHere = true;
-        table = new SuspectTable(LIMITS, request -> triesHere, new Told());
-        other = new SuspectTable(LIMITS, request -> false, new Told());
+        table = new SuspectTable(LIMITS, request -> triesHere, new EventRecorder());
+        otherEntry = new SuspectTable(LIMITS, request -> false, new EventRecorder());
     }
 
     @Test
-    public void aRequestIsBlockedOnceThreeServersHaveEndedUnderIt() {
+    public void aRequestIsBlockedAfterThreeServersEndedUnderIt() {
         crash(table, "s-1@1", 0);
         crash(table, "s-2@1", 100);
         assertThat(table.decide(REQUEST, 200).sends()).isTrue();
         crash(table, "s-1@2", 200);
         assertThat(table.decide(REQUEST, 201)).isEqualTo(new SuspectDecision(false, 3, 59_999));
-        assertThat(told).containsExactly("blocked request 3");
+        assertThat(events).containsExactly("blocked request 3");
     }
 
     @Test
-    public void whatIsNotYetKnownToHaveEndedCountsUntilItIsKnownToLive() {
+    public void anUnconfirmedCrashCountsUntilItIsRefuted() {
         crash(table, "s-1@1", 0);
         crash(table, "s-2@1", 100);
         table.brokeOff(REQUEST, "s-3@1", table.sent(REQUEST), 200);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void serversThatEndTogetherUnderManyOfItsAttemptsCountAsOneRound() {
+    public void serversThatEndInTheSameRoundCountOnce() {
         int round = table.sent(REQUEST);
         for (int server = 0; server < 4; server++) {
             table.brokeOff(REQUEST, "s-" + server + "@1", round, 0);
@@ -55,12 +55,12 @@
         assertThat(table.decide(REQUEST, 1).sends()).isTrue();
         crash(table, "s-5@1", 1_000);
         assertThat(table.decide(REQUEST, 1_001).sends())
-                .as("ended again, alone")
+                .as("one more server ended in a later round")
                 .isFalse();
     }
 
     @Test
-    public void aWholeAnswerClearsARequestAndSpeaksForItForAWhile() {
+    public void aCompleteAnswerClearsARequestAndProtectsItForALimitedTime() {
         crash(table, "s-1@1", 0);
         crash(table, "s-2@1", 100);
         table.answered(REQUEST, 200);
@@ -75,40 +75,40 @@
     }
 
     @Test
-    public void crashesSeenByDifferentEntriesAddUp() {
+    public void crashesObservedByDifferentEntriesAddUp() {
         crash(table, "s-1@1", 0);
-        other.heard(table.report(), 50);
-        crash(other, "s-2@1", 100);
-        table.heard(other.report(), 150);
+        otherEntry.heard(table.report(), 50);
+        crash(otherEntry, "s-2@1", 100);
+        table.heard(otherEntry.report(), 150);
         crash(table, "s-3@1", 200);
-        other.heard(table.report(), 250);
-        assertThat(other.decide(REQUEST, 300).sends()).isFalse();
-        other.heard(table.report(), 40_000);
-        assertThat(other.decide(REQUEST, 40_000).retryAfterMillis())
-                .as("heard twice")
+        otherEntry.heard(table.report(), 250);
+        assertThat(otherEntry.decide(REQUEST, 300).sends()).isFalse();
+        otherEntry.heard(table.report(), 40_000);
+        assertThat(otherEntry.decide(REQUEST, 40_000).retryAfterMillis())
+                .as("report received twice")
                 .isEqualTo(20_250);
     }
 
     @Test
-    public void aWholeAnswerAtAnyEntryEndsABlockAtAll() {
+    public void aCompleteAnswerAtAnyEntryEndsTheBlockAtAllEntries() {
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
-        other.heard(table.report(), 10);
-        other.answered(REQUEST, 20);
-        assertThat(other.hasNews()).isTrue();
-        table.heard(other.report(), 30);
+        otherEntry.heard(table.report(), 10);
+        otherEntry.answered(REQUEST, 20);
+        assertThat(otherEntry.hasNews()).isTrue();
+        table.heard(otherEntry.report(), 30);
         assertThat(table.decide(REQUEST, 40).sends()).isTrue();
-        assertThat(told).contains("unblocked request");
+        assertThat(events).contains("unblocked request");
     }
 
     @Test
-    public void aBlockEndsWithASingleTrialAtOneEntryAndComesBackTwiceAsLong() {
+    public void aBlockEndsWithASingleTrialAtOneEntryAndDoublesAfterAnotherCrash() {
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
-        other.heard(table.report(), 0);
-        assertThat(other.decide(REQUEST, 60_000).sends())
+        otherEntry.heard(table.report(), 0);
+        assertThat(otherEntry.decide(REQUEST, 60_000).sends())
                 .as("tried at another entry")
                 .isFalse();
         assertThat(table.decide(REQUEST, 60_000).sends()).isTrue();
@@ -120,17 +120,17 @@
     }
 
     @Test
-    public void aStartedEntryGoesOnTellingWhatItsBoxHasSeen() {
+    public void aRestartedEntryContinuesToReportTheObservationsOfItsBox() {
         crash(table, "s-1@1", 0);
-        SuspectTable started = new SuspectTable(LIMITS, request -> true, new Told());
-        started.resume(table.report(), 0);
-        assertThat(started.hasChanged()).isFalse();
-        crash(started, "s-2@1", 100);
-        assertThat(started.report().crashes()).containsOnlyKeys("s-1@1", "s-2@1");
+        SuspectTable restarted = new SuspectTable(LIMITS, request -> true, new EventRecorder());
+        restarted.resume(table.report(), 0);
+        assertThat(restarted.hasChanged()).isFalse();
+        crash(restarted, "s-2@1", 100);
+        assertThat(restarted.report().crashes()).containsOnlyKeys("s-1@1", "s-2@1");
     }
 
     @Test
-    public void whatIsLongAgoIsForgotten() {
+    public void oldCrashesExpire() {
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
@@ -143,7 +143,7 @@
     }
 
     @Test
-    public void thoseWithFewCrashesGiveWayWhereTooManyAreSuspected() {
+    public void suspectsWithTheFewestCrashesAreRemovedAboveTheMaximum() {
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
@@ -155,14 +155,14 @@
     }
 
     @Test
-    public void requestsThatWereAnsweredAreNoLongerToldAsSuspects() {
+    public void answeredRequestsAreNoLongerReportedAsSuspects() {
         crash(table, "s-1@1", 0);
         table.answered(REQUEST, 10);
         assertThat(table.report().crashes().get("s-1@1")).isEmpty();
     }
 
     @Test
-    public void whatIsToldStaysBoundedAndKeepsWhatWasUnderSuspicionBefore() {
+    public void reportsAreBoundedAndKeepEarlierSuspects() {
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
@@ -174,22 +174,22 @@
         assertThat(table.report().crashes()).hasSize(18).containsKeys("s-2@1", "s-3@1", "t-99@1");
     }
 
-    private static void crash(SuspectTable where, String server, long nowMillis) {
-        int round = where.sent(REQUEST);
-        where.ended(REQUEST);
-        where.brokeOff(REQUEST, server, round, nowMillis);
-        where.confirmed(server, nowMillis);
+    private static void crash(SuspectTable entry, String server, long nowMillis) {
+        int round = entry.sent(REQUEST);
+        entry.ended(REQUEST);
+        entry.brokeOff(REQUEST, server, round, nowMillis);
+        entry.confirmed(server, nowMillis);
     }
 
-    private final class Told implements SuspectEvents {
+    private final class EventRecorder implements SuspectEvents {
         @Override
         public void blocked(RequestDigest request, Set<String> servers) {
-            told.add("blocked " + request.text() + " " + servers.size());
+            events.add("blocked " + request.text() + " " + servers.size());
         }
 
         @Override
         public void unblocked(RequestDigest request) {
-            told.add("unblocked " + request.text());
+            events.add("unblocked " + request.text());
         }
     }
 }
--- a/core/src/test/java/org/streamring/kernel/suspect/SuspectsUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/SuspectsUnderFaultsTest.java
@@ -4,20 +4,20 @@
 
 import org.testng.annotations.Test;
 
-/** Whole fleets in simulated time, with random faults. */
+/** Runs simulated fleets with random faults. */
 public class SuspectsUnderFaultsTest {
     private static final int SEEDS = 300;
-    private static final int RETRIES_AFTER_THE_THIRD = 3;
+    private static final int MAX_SENT_AFTER_THIRD_CRASH = 3;
 
     @Test
-    public void aCrashingRequestIsHeldUpAndAPopularOneIsNot() {
+    public void aCrashingRequestIsBlockedAndAPopularOneIsNot() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            SuspectFleet.Tally day = new SuspectFleet(seed, SuspectLimits.DEFAULT).play();
-            assertThat(day.thirdMillis)
-                    .as("seed %d plays a crashing request", seed)
-                    .isLessThan(SuspectFleet.NEVER);
-            assertThat(day.sentAfterThird).as("seed %d", seed).isLessThanOrEqualTo(RETRIES_AFTER_THE_THIRD);
-            assertThat(day.popularRefused).as("seed %d", seed).isZero();
+            SuspectSimulation.Tally tally = new SuspectSimulation(seed, SuspectLimits.DEFAULT).run();
+            assertThat(tally.thirdCrashMillis)
+                    .as("the crashing request crashes three servers, seed %d", seed)
+                    .isLessThan(SuspectSimulation.NEVER);
+            assertThat(tally.sentAfterThirdCrash).as("seed %d", seed).isLessThanOrEqualTo(MAX_SENT_AFTER_THIRD_CRASH);
+            assertThat(tally.popularRefused).as("seed %d", seed).isZero();
         }
     }
 }
