--- a/core/src/main/java/org/streamring/kernel/limit/AccountLimiter.java
+++ b/core/src/main/java/org/streamring/kernel/limit/AccountLimiter.java
@@ -5,9 +5,9 @@
 import org.streamring.model.declaration.AccountDeclaration;
 
 /**
- * Concurrency and rate limits per client account, on one entry.
+ * Enforces the concurrency and rate limits of client accounts on one entry.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Safe for use by many threads; no other lock is acquired while its lock is held.
  */
 public final class AccountLimiter {
     private final Map<String, State> accounts = new HashMap<>();
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Starts a request, unless it is over a limit; every started one must be {@link #ended}. */
+    /** Starts a request unless a limit is exceeded; {@link #ended} must be called for every started request. */
     public synchronized boolean tryStart(String account, AccountDeclaration limits, long nowMillis) {
         State state = accounts.computeIfAbsent(
                 account, name -> new State(new TokenBucket(limits.requestsPerSecond(), nowMillis)));
@@ -33,7 +33,7 @@
         return true;
     }
 
-    /** Ends a started request. */
+    /** Records the end of a started request. */
     public synchronized void ended(String account) {
         State state = accounts.get(account);
         if (state != null) {
--- a/core/src/main/java/org/streamring/kernel/limit/ConflictBackoff.java
+++ b/core/src/main/java/org/streamring/kernel/limit/ConflictBackoff.java
@@ -3,44 +3,44 @@
 import java.util.Random;
 
 /**
- * How long to wait after a transaction that others' transactions came before.
+ * Computes the back-off after a transaction that failed because of a conflict with another writer's transaction.
  *
- * <p>The store takes transactions of one partition one after another, and one that read before the last change fails.
- * A few writers do best to try again at once. Many keep each other from ever committing; so each waits for a random
- * part of the time in which all could commit twice, which leaves it with an outdated version, and then tries twice in a
- * row. Confined to one thread.
+ * <p>The store executes the transactions of one partition one after another, and a transaction fails if it read its
+ * rows before the last change. With few writers, immediate retries work best. Many writers would keep each other from
+ * ever committing. Each of them therefore waits for a random part of the time in which all could commit twice. As its
+ * version is outdated after that wait, it then tries twice in a row. Confined to one thread.
  */
 public final class ConflictBackoff {
-    private static final long AT_ONCE_MILLIS = 5;
+    private static final long MIN_DELAY_MILLIS = 5;
     private static final long TRANSACTION_MILLIS = 6;
-    private static final int TURNS = 2;
-    private static final int FEW_WRITERS = 8;
+    private static final int TRANSACTIONS_PER_WRITER = 2;
+    private static final int MAX_WRITERS_WITHOUT_BACKOFF = 8;
 
     private final Random random;
     private int conflicts;
 
-    /** Creates one without conflicts. */
+    /** Creates a back-off without recorded conflicts. */
     public ConflictBackoff(Random random) {
         this.random = random;
     }
 
-    /** Notes a transaction that took effect. */
+    /** Records a transaction that was committed. */
     public void committed() {
         conflicts = 0;
     }
 
     /**
-     * Notes a transaction that did not take effect.
+     * Records a transaction that failed because of a conflict.
      *
-     * @param writers how many write to the same rows
-     * @return milliseconds to wait
+     * @param writers number of writers to the same rows
+     * @return back-off before the next attempt, in milliseconds
      */
     public long conflicted(int writers) {
         conflicts++;
         boolean versionIsFresh = conflicts % 2 == 1;
-        if (writers <= FEW_WRITERS || versionIsFresh) {
-            return AT_ONCE_MILLIS;
+        if (writers <= MAX_WRITERS_WITHOUT_BACKOFF || versionIsFresh) {
+            return MIN_DELAY_MILLIS;
         }
-        return AT_ONCE_MILLIS + random.nextLong(TRANSACTION_MILLIS * TURNS * writers);
+        return MIN_DELAY_MILLIS + random.nextLong(TRANSACTION_MILLIS * TRANSACTIONS_PER_WRITER * writers);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/limit/FleetRetryBudget.java
+++ b/core/src/main/java/org/streamring/kernel/limit/FleetRetryBudget.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 
 /**
- * This entry's part of a limit on retries that all entries share.
+ * This entry's share of a limit on retries that applies to all entries together.
  *
- * <p>The limit holds in every window: retries &le; ratio × requests + slack. An entry uses its requests' part of the
- * first term and an even part of the second. Confined to one thread.
+ * <p>The limit holds in every window: retries &le; ratio × requests + slack. An entry uses the part of the first term
+ * that its own requests contribute, and an equal share of the second. Confined to one thread.
  */
 public final class FleetRetryBudget {
-    private static final double MARGIN = 0.8;
+    private static final double USED_SHARE = 0.8;
 
     private final double ratio;
     private final double slack;
@@ -19,11 +19,11 @@
     private final Deque<Long> retries = new ArrayDeque<>();
 
     /**
-     * Creates one.
+     * Creates a budget.
      *
      * @param ratio retries allowed per request
-     * @param slack retries allowed besides, by all entries together
-     * @param windowMillis length of the sliding window
+     * @param slack additional retries allowed to all entries together
+     * @param windowMillis length of the sliding window, in milliseconds
      */
     public FleetRetryBudget(double ratio, double slack, long windowMillis) {
         this.ratio = ratio;
@@ -31,16 +31,21 @@
         this.windowMillis = windowMillis;
     }
 
-    /** Notes a request. */
+    /** Records a request. */
     public void request(long nowMillis) {
         requests.addLast(nowMillis);
         expire(nowMillis);
     }
 
-    /** Takes leave for one retry. */
+    /**
+     * Takes one retry from the budget if it allows one.
+     *
+     * @param entries number of entries that share the limit
+     * @return whether the retry is allowed
+     */
     public boolean tryRetry(long nowMillis, int entries) {
         expire(nowMillis);
-        double allowed = MARGIN * (ratio * requests.size() + slack / Math.max(1, entries));
+        double allowed = USED_SHARE * (ratio * requests.size() + slack / Math.max(1, entries));
         if (retries.size() + 1 > allowed) {
             return false;
         }
--- a/core/src/main/java/org/streamring/kernel/limit/RetryBudget.java
+++ b/core/src/main/java/org/streamring/kernel/limit/RetryBudget.java
@@ -1,9 +1,9 @@
 package org.streamring.kernel.limit;
 
 /**
- * Allows retries in proportion to first tries, so that retries never multiply an overload.
+ * Allows retries in proportion to first attempts, so that retries never multiply an overload.
  *
- * <p>Safe for use by many threads; its lock is a leaf, held while no other lock is taken.
+ * <p>Safe for use by many threads; no other lock is acquired while its lock is held.
  */
 public final class RetryBudget {
     private static final double BURST = 10;
@@ -12,20 +12,20 @@
     private final TokenBucket bucket = new TokenBucket(BURST, 0);
 
     /**
-     * Creates one.
+     * Creates a budget.
      *
-     * @param share retries allowed per first try
+     * @param share retries allowed per first attempt
      */
     public RetryBudget(double share) {
         this.share = share;
     }
 
-    /** Notes a first try. */
+    /** Records a first attempt. */
     public synchronized void firstTry() {
         bucket.add(share);
     }
 
-    /** Takes leave for one retry. */
+    /** Takes one retry from the budget; returns whether it is allowed. */
     public synchronized boolean tryRetry() {
         return bucket.take();
     }
--- a/core/src/main/java/org/streamring/kernel/limit/TokenBucket.java
+++ b/core/src/main/java/org/streamring/kernel/limit/TokenBucket.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** A rate limit with a burst of one second's worth. Not safe for use by several threads. */
+/** Token bucket whose capacity is the burst. Not thread-safe. */
 final class TokenBucket {
-    private static final double MILLIS = Duration.ofSeconds(1).toMillis();
+    private static final double MILLIS_PER_SECOND = Duration.ofSeconds(1).toMillis();
 
     private final double burst;
     private double level;
@@ -21,7 +21,7 @@
     }
 
     void refill(double perSecond, long nowMillis) {
-        add(perSecond * Math.max(0, nowMillis - updatedMillis) / MILLIS);
+        add(perSecond * Math.max(0, nowMillis - updatedMillis) / MILLIS_PER_SECOND);
         updatedMillis = nowMillis;
     }
 
--- a/core/src/main/java/org/streamring/kernel/limit/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Limits per client account and on retries. */
+/** Limits on requests per client account and rank, and on retries. */
 @NullMarked
 package org.streamring.kernel.limit;
 
--- a/core/src/test/java/org/streamring/kernel/limit/ConflictBackoffTest.java
+++ b/core/src/test/java/org/streamring/kernel/limit/ConflictBackoffTest.java
@@ -16,13 +16,13 @@
     private static final long ROUND_TRIP_MILLIS = 6;
 
     @Test
-    public void aFewWritersTryAgainAtOnce() {
+    public void fewWritersRetryAtOnce() {
         ConflictBackoff backoff = new ConflictBackoff(new Random(1));
         IntStream.range(0, 20).forEach(i -> assertThat(backoff.conflicted(3)).isEqualTo(5));
     }
 
     @Test
-    public void ofManyEachTriesTwiceInARowAndThenWaits() {
+    public void eachOfManyWritersTriesTwiceInARowAndThenWaits() {
         ConflictBackoff backoff = new ConflictBackoff(new Random(1));
         long[] delays =
                 IntStream.range(0, 100).mapToLong(i -> backoff.conflicted(30)).toArray();
@@ -35,12 +35,14 @@
     }
 
     @Test
-    public void thirtyWritersThatBeginTogetherNeedHalfOfTheTransactions() {
+    public void backingOffHalvesTheTransactionsOfThirtyConcurrentWriters() {
         assertThat(transactionsUntilAllCommitted(30, true))
                 .isLessThan(transactionsUntilAllCommitted(30, false) * 11 / 20);
     }
 
-    /** A partition that takes one transaction after another; one that read an older version than the last fails. */
+    /**
+     * Simulates a partition that executes one transaction at a time; a transaction that read an outdated version fails.
+     */
     private static long transactionsUntilAllCommitted(int writers, boolean backingOff) {
         Random random = new Random(7);
         List<ConflictBackoff> backoffs = new ArrayList<>();
@@ -50,20 +52,20 @@
             arrivals.add(new long[] {writer % 3, writer, 0});
         }
         long transactions = 0;
-        long free = 0;
+        long freeAtMillis = 0;
         long version = 0;
-        int left = writers;
-        while (left > 0) {
+        int remaining = writers;
+        while (remaining > 0) {
             long[] next = arrivals.poll();
             int writer = (int) next[1];
             transactions++;
-            free = Math.max(free, next[0]) + TRANSACTION_MILLIS;
+            freeAtMillis = Math.max(freeAtMillis, next[0]) + TRANSACTION_MILLIS;
             if (next[2] == version) {
                 version++;
-                left--;
+                remaining--;
             } else {
                 long delay = ROUND_TRIP_MILLIS + backoffs.get(writer).conflicted(backingOff ? writers : 1);
-                arrivals.add(new long[] {free + delay, writer, version});
+                arrivals.add(new long[] {freeAtMillis + delay, writer, version});
             }
         }
         return transactions;
--- a/core/src/test/java/org/streamring/kernel/limit/RankLimitTest.java
+++ b/core/src/test/java/org/streamring/kernel/limit/RankLimitTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test(dataProvider = "limits")
-    public void lowerRanksLeaveMoreFree(int capacity, int rank, int limit) {
+    public void lessUrgentRanksHaveASmallerLimit(int capacity, int rank, int limit) {
         assertThat(RankLimit.of(capacity, rank)).isEqualTo(limit);
     }
 }
