--- a/core/src/main/java/org/streamring/kernel/registry/BackendInstance.java
+++ b/core/src/main/java/org/streamring/kernel/registry/BackendInstance.java
@@ -1,17 +1,17 @@
 package org.streamring.kernel.registry;
 
 /**
- * A backend server, as it registered itself.
+ * Backend server as described by its row in the list of backend servers.
  *
- * @param id its identifier, which may outlive its process
- * @param service service it belongs to
+ * @param id identifier, which a later process may use again
+ * @param service service to which the server belongs
  * @param host IP address
  * @param port TCP port
  * @param failureDomain failure domain of its box
- * @param slots requests that it works on at once
- * @param ready whether it takes new requests; false while it leaves
- * @param coldMillis how long it stays cold from when it said so, in milliseconds; 0 if it is warm
- * @param bornMillis when its process started, in milliseconds of its own time of day; 0 if it doesn't say
+ * @param slots number of requests that the server runs concurrently
+ * @param ready whether the server accepts new requests; false while it is shutting down
+ * @param coldMillis remaining warm-up time of a cold server when it wrote the row, in milliseconds; 0 if it is warm
+ * @param bornMillis start time of its process, in milliseconds of its own wall clock; 0 if not given
  */
 public record BackendInstance(
         String id,
@@ -24,7 +24,7 @@
         long coldMillis,
         long bornMillis) {
 
-    /** Names this life of its process: one that starts again under its identifier is another incarnation. */
+    /** Returns the name of this process; a process that restarts under the same identifier is another incarnation. */
     public String incarnation() {
         return id + "@" + bornMillis;
     }
--- a/core/src/main/java/org/streamring/kernel/registry/BackendRegistry.java
+++ b/core/src/main/java/org/streamring/kernel/registry/BackendRegistry.java
@@ -11,11 +11,11 @@
 import org.streamring.kernel.availability.NoticeSource;
 
 /**
- * The backend servers of all services, fed from the platform's list.
+ * Registry of the backend servers of all services, filled from the platform's list.
  *
- * <p>An entry that lapsed around an outage of the list is kept for {@code keepLapsedMillis} after the list is back,
- * as its server may live; one that leaves is not. Servers of an evacuated failure domain take nothing new until it is
- * restored. Confined to one thread.
+ * <p>A row that is removed during an outage of the list, or shortly after it, is kept for {@code keepLapsedMillis}
+ * after the end of the outage, as its server may still be alive. Rows of servers that are shutting down are not kept.
+ * Servers in an evacuated failure domain receive no new requests until the domain is restored. Confined to one thread.
  */
 public final class BackendRegistry {
     private final long keepLapsedMillis;
@@ -23,34 +23,34 @@
     private final Map<String, BackendInstance> instances = new HashMap<>();
     private final Map<String, Long> lapsedUntil = new HashMap<>();
     private Set<String> evacuated = Set.of();
-    private boolean listAway;
-    private long listBackMillis = Long.MIN_VALUE / 2;
+    private boolean listUnavailable;
+    private long listRestoredMillis = Long.MIN_VALUE / 2;
 
     /**
      * Creates an empty registry.
      *
-     * @param keepLapsedMillis how long a lapsed entry is kept after the list is back
-     * @param availability told which servers leave by their entries, asked which leave
+     * @param keepLapsedMillis how long a removed row is kept after the end of an outage, in milliseconds
+     * @param availability receives the servers whose rows report a shutdown, and returns which are shutting down
      */
     public BackendRegistry(long keepLapsedMillis, BackendAvailability availability) {
         this.keepLapsedMillis = keepLapsedMillis;
         this.availability = availability;
     }
 
-    /** Notes that the list can't be read. */
+    /** Records that the list cannot be read. */
     public void listLost() {
-        listAway = true;
+        listUnavailable = true;
     }
 
-    /** Notes that the list can be read again. */
+    /** Records that the list can be read again. */
     public void listBack(long nowMillis) {
-        if (listAway) {
-            listAway = false;
-            listBackMillis = nowMillis;
+        if (listUnavailable) {
+            listUnavailable = false;
+            listRestoredMillis = nowMillis;
         }
     }
 
-    /** Takes a new or changed entry. */
+    /** Adds or replaces a row. */
     public void put(BackendInstance instance, long nowMillis) {
         lapsedUntil.remove(instance.id());
         if (!instance.ready()) {
@@ -59,28 +59,28 @@
         instances.put(instance.id(), instance);
     }
 
-    /** Takes the removal of an entry. */
+    /** Removes a row, or marks it as lapsed around an outage of the list. */
     public void remove(String id, long nowMillis) {
         BackendInstance instance = instances.get(id);
         if (instance == null) {
             return;
         }
-        if (leaves(instance) || !withinLapse(nowMillis)) {
-            forget(id);
+        if (leaves(instance) || !isAroundOutage(nowMillis)) {
+            delete(id);
         } else {
-            lapsedUntil.put(id, listBackMillis + keepLapsedMillis);
+            lapsedUntil.put(id, listRestoredMillis + keepLapsedMillis);
         }
     }
 
     /**
-     * Forgets a server at once, as its entry can't be understood and names no server any more. That is no lapse, so it
-     * isn't kept through an outage.
+     * Removes a server at once because its row cannot be parsed. The row has not lapsed, so it is not kept through an
+     * outage.
      */
     public void drop(String id) {
-        forget(id);
+        delete(id);
     }
 
-    /** Takes the whole list as it stands. */
+    /** Replaces all rows by the current list. */
     public void replaceAll(Collection<BackendInstance> list, long nowMillis) {
         Set<String> listed = new HashSet<>();
         list.forEach(instance -> listed.add(instance.id()));
@@ -92,22 +92,22 @@
         list.forEach(instance -> put(instance, nowMillis));
     }
 
-    /** Drops lapsed entries whose time is over; returns their identifiers. */
+    /** Removes lapsed rows whose retention has expired; returns their identifiers. */
     public List<String> expire(long nowMillis) {
         List<String> expired = lapsedUntil.entrySet().stream()
                 .filter(entry -> entry.getValue() <= nowMillis)
                 .map(Map.Entry::getKey)
                 .toList();
-        expired.forEach(this::forget);
+        expired.forEach(this::delete);
         return expired;
     }
 
-    /** Takes the failure domains whose servers get nothing new, in place of those named before. */
+    /** Sets the failure domains whose servers receive no new requests, replacing the previous ones. */
     public void evacuated(Set<String> failureDomains) {
         evacuated = Set.copyOf(failureDomains);
     }
 
-    /** Servers of a service outside evacuated failure domains, also those that leave. */
+    /** Returns the servers of a service outside evacuated failure domains, including those that are shutting down. */
     public List<BackendInstance> inService(String service) {
         return instances.values().stream()
                 .filter(instance -> instance.service().equals(service))
@@ -115,12 +115,12 @@
                 .toList();
     }
 
-    /** Whether a server said that it leaves. */
+    /** Returns whether a server is shutting down. */
     public boolean leaves(BackendInstance instance) {
         return availability.isLeaving(instance.incarnation());
     }
 
-    /** Whether a server stays and its failure domain is not evacuated. */
+    /** Returns whether a server is not shutting down and its failure domain is not evacuated. */
     public boolean stays(BackendInstance instance) {
         return isOpen(instance) && !leaves(instance);
     }
@@ -129,21 +129,21 @@
         return !evacuated.contains(instance.failureDomain());
     }
 
-    /** A server, if it is known. */
+    /** Returns a server; empty if it is not registered. */
     public Optional<BackendInstance> find(String id) {
         return Optional.ofNullable(instances.get(id));
     }
 
-    /** All servers that are known. */
+    /** Returns all registered servers. */
     public Collection<BackendInstance> all() {
         return List.copyOf(instances.values());
     }
 
-    private boolean withinLapse(long nowMillis) {
-        return listAway || nowMillis < listBackMillis + keepLapsedMillis;
+    private boolean isAroundOutage(long nowMillis) {
+        return listUnavailable || nowMillis < listRestoredMillis + keepLapsedMillis;
     }
 
-    private void forget(String id) {
+    private void delete(String id) {
         instances.remove(id);
         lapsedUntil.remove(id);
     }
--- a/core/src/main/java/org/streamring/kernel/registry/package-info.java
+++ b/core/src/main/java/org/streamring/kernel/registry/package-info.java
@@ -1,4 +1,4 @@
-/** What is known of the backend servers that run, leave or are gone. */
+/** Registry of backend servers, including those that are shutting down or whose rows lapsed in an outage. */
 @NullMarked
 package org.streamring.kernel.registry;
 
--- a/core/src/test/java/org/streamring/kernel/registry/BackendRegistryTest.java
+++ b/core/src/test/java/org/streamring/kernel/registry/BackendRegistryTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 public class BackendRegistryTest {
-    private static final long KEEP_MILLIS = 2_200;
+    private static final long KEEP_LAPSED_MILLIS = 2_200;
 
     private BackendAvailability availability;
     private BackendRegistry registry;
@@ -19,19 +19,19 @@
     @BeforeMethod
     public void setUp() {
         availability = new BackendAvailability(() -> 2_000, new NoOpAvailabilityEvents());
-        registry = new BackendRegistry(KEEP_MILLIS, availability);
+        registry = new BackendRegistry(KEEP_LAPSED_MILLIS, availability);
         registry.put(backend("i-1", true), 0);
         registry.put(backend("i-2", true), 0);
     }
 
     @Test
-    public void aLeavingServerTakesNoNewRequests() {
+    public void aServerThatIsShuttingDownTakesNoNewRequests() {
         registry.put(backend("i-1", false), 0);
         assertThat(ids()).containsExactly("i-2");
     }
 
     @Test
-    public void aServerOnceSeenLeavingNeverComesBack() {
+    public void aShutdownIsFinalForItsProcess() {
         registry.put(backend("i-1", false), 0);
         registry.remove("i-1", 100);
         registry.put(backend("i-1", true), 0);
@@ -39,14 +39,14 @@
     }
 
     @Test
-    public void anotherProcessUnderTheIdentifierOfOneThatLeftTakesNewRequests() {
+    public void aNewProcessWithTheIdentifierOfAServerThatShutDownTakesNewRequests() {
         registry.put(backend("i-1", false), 0);
         registry.put(new BackendInstance("i-1", "assist", "10.0.0.1", 8_080, "hall-1", 64, true, 0, 7), 0);
         assertThat(ids()).containsExactlyInAnyOrder("i-1", "i-2");
     }
 
     @Test
-    public void aServerThatSaidInAnAnswerThatItLeavesIsNotKeptThroughAnOutage() {
+    public void aServerWhoseAnswerReportedItsShutdownIsNotKeptThroughAnOutage() {
         availability.answered(backend("i-1", true).incarnation(), false, new BackendNotice(true, 0), 9_000);
         registry.listLost();
         registry.listBack(10_000);
@@ -55,36 +55,36 @@
     }
 
     @Test
-    public void aRemovedServerIsGoneAtOnceWhileTheListAnswers() {
+    public void aRowRemovedWhileTheListIsAvailableIsRemovedAtOnce() {
         registry.remove("i-1", 10_000);
         assertThat(ids()).containsExactly("i-2");
     }
 
     @Test
-    public void anEntryThatLapsedDuringAnOutageIsKeptForAWhile() {
+    public void aRowThatLapsedDuringAnOutageIsKeptForALimitedTime() {
         registry.listLost();
         registry.listBack(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
 
         assertThat(ids()).containsExactlyInAnyOrder("i-1", "i-2");
-        registry.expire(10_000 + KEEP_MILLIS - 1);
+        registry.expire(10_000 + KEEP_LAPSED_MILLIS - 1);
         assertThat(ids()).contains("i-1");
-        assertThat(registry.expire(10_000 + KEEP_MILLIS)).containsExactly("i-1");
+        assertThat(registry.expire(10_000 + KEEP_LAPSED_MILLIS)).containsExactly("i-1");
         assertThat(ids()).containsExactly("i-2");
     }
 
     @Test
-    public void anEntryThatCannotBeUnderstoodIsNotKeptThroughAnOutage() {
+    public void aRowThatCannotBeParsedIsNotKeptThroughAnOutage() {
         registry.listLost();
         registry.listBack(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
         registry.drop("i-1");
         assertThat(ids()).containsExactly("i-2");
-        assertThat(registry.expire(10_000 + KEEP_MILLIS)).isEmpty();
+        assertThat(registry.expire(10_000 + KEEP_LAPSED_MILLIS)).isEmpty();
     }
 
     @Test
-    public void anEntryThatIsBackInTimeStays() {
+    public void aLapsedRowThatIsListedAgainInTimeIsKept() {
         registry.listLost();
         registry.listBack(10_000);
         registry.replaceAll(List.of(), 10_000);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void aLeavingServerIsNotKeptThroughAnOutage() {
+    public void aServerThatIsShuttingDownIsNotKeptThroughAnOutage() {
         registry.put(backend("i-1", false), 0);
         registry.listLost();
         registry.listBack(10_000);
@@ -104,20 +104,22 @@
     }
 
     @Test
-    public void removalsLongAfterAnOutageCountAtOnce() {
+    public void rowsRemovedLongAfterAnOutageAreRemovedAtOnce() {
         registry.listLost();
         registry.listBack(10_000);
-        registry.remove("i-1", 10_000 + KEEP_MILLIS);
+        registry.remove("i-1", 10_000 + KEEP_LAPSED_MILLIS);
         assertThat(ids()).containsExactly("i-2");
     }
 
     @Test
-    public void serversOfAnEvacuatedDomainTakeNothingNewUntilItIsRestored() {
+    public void serversOfAnEvacuatedDomainTakeNoNewRequestsUntilItIsRestored() {
         registry.evacuated(Set.of("hall-1"));
         registry.put(backend("i-3", true), 0);
         assertThat(ids()).isEmpty();
         assertThat(registry.stays(backend("i-1", true))).isFalse();
-        assertThat(registry.find("i-1")).as("its streams run on").isPresent();
+        assertThat(registry.find("i-1"))
+                .as("still registered for its running streams")
+                .isPresent();
 
         registry.evacuated(Set.of("hall-2"));
         assertThat(ids()).containsExactlyInAnyOrder("i-1", "i-2", "i-3");
