--- a/direct/src/main/java/org/streamring/direct/backend/AttemptFailure.java
+++ b/direct/src/main/java/org/streamring/direct/backend/AttemptFailure.java
@@ -1,11 +1,11 @@
 package org.streamring.direct.backend;
 
-/** How an attempt ended without a whole answer. */
+/** Reasons why an attempt ended without a complete answer. */
 public enum AttemptFailure {
     /** No byte of the request was sent. */
     NOT_SENT,
-    /** No byte was sent, as the backend server said meanwhile that it takes nothing. */
+    /** No byte of the request was sent, because it was no longer allowed to be sent once the connection was open. */
     WITHDRAWN,
-    /** The request may have run. */
+    /** The attempt failed after the request was sent, so the backend server may have run the request. */
     BROKEN
 }
--- a/direct/src/main/java/org/streamring/direct/backend/AttemptListener.java
+++ b/direct/src/main/java/org/streamring/direct/backend/AttemptListener.java
@@ -1,16 +1,16 @@
 package org.streamring.direct.backend;
 
-/** Hears what becomes of an attempt. After an end or a failure nothing follows. */
+/** Receives the events of an attempt. No method is called after {@link #onEnd} or {@link #onFailure}. */
 public interface AttemptListener {
-    /** Status and headers came. */
+    /** Called when the status and headers have been received. */
     void onHead(AnswerHead head);
 
-    /** A part of the body came. */
+    /** Called for each received part of the body. */
     void onData(byte[] data);
 
-    /** The answer is whole. */
+    /** Called when the answer is complete. */
     void onEnd();
 
-    /** There will be no whole answer. */
+    /** Called when the attempt ends without a complete answer. */
     void onFailure(AttemptFailure failure, String reason);
 }
--- a/direct/src/main/java/org/streamring/direct/backend/BackendAttempt.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendAttempt.java
@@ -3,27 +3,27 @@
 import java.util.OptionalLong;
 import org.jspecify.annotations.Nullable;
 
-/** A request on its way to a backend server. Confined to the event loop. */
+/** One attempt to have a backend server answer a request. Confined to the event loop. */
 public final class BackendAttempt {
     private final AttemptListener listener;
     private @Nullable BackendConnection connection;
     private OptionalLong sentMillis = OptionalLong.empty();
-    private boolean over;
+    private boolean finished;
 
     BackendAttempt(AttemptListener listener) {
         this.listener = listener;
     }
 
-    /** Gives the attempt up; its listener hears nothing more. */
+    /** Cancels the attempt; its listener is not called any more. */
     public void cancel() {
-        over = true;
+        finished = true;
         if (connection != null) {
             connection.cancel();
             connection = null;
         }
     }
 
-    /** Stops or resumes reading the answer. */
+    /** Pauses or resumes reading the answer. */
     public void pauseReading(boolean paused) {
         if (connection != null) {
             connection.pauseReading(paused);
@@ -31,57 +31,63 @@
     }
 
     /**
-     * Judges the silence of this attempt's connection.
+     * Checks whether the connection of this attempt or its backend server is unresponsive.
      *
-     * @param millis a sound backend server answers within this time, or starts to
+     * @param millis time in milliseconds within which a healthy backend server starts to answer
      */
     public Silence silence(long millis) {
         return connection == null ? Silence.NONE : connection.silence(millis);
     }
 
-    /** When something was last heard on this attempt's connection, or when the request was sent; 0 before that. */
+    /**
+     * Returns when data was last received on the connection of this attempt, or when the request was sent if that is
+     * later; 0 before the request was sent.
+     */
     public long quietSinceMillis() {
         return connection == null ? 0 : connection.quietSinceMillis();
     }
 
-    /** Whether the request was written to a connection. */
+    /** Returns whether the request was written to a connection. */
     public boolean sent() {
         return sentMillis.isPresent();
     }
 
-    /** When the request was written to a connection; empty before that. */
+    /** Returns when the request was written to a connection; empty before that. */
     public OptionalLong sentMillis() {
         return sentMillis;
     }
 
     void run(BackendConnection opened, BackendRequest request, long nowMillis) {
-        if (over) {
+        if (finished) {
             opened.close();
             return;
         }
         sentMillis = OptionalLong.of(nowMillis);
         connection = opened;
-        opened.send(request, new Relay(), nowMillis);
+        opened.send(request, new ConnectionEvents(), nowMillis);
     }
 
-    void notSent(String reason) {
+    void endNotSent(String reason) {
         failUnsent(AttemptFailure.NOT_SENT, reason);
     }
 
-    /** The backend server takes nothing any more. */
-    void withdrawn() {
-        failUnsent(AttemptFailure.WITHDRAWN, "it takes nothing now");
+    /** Ends the attempt, because its request is no longer allowed to be sent. */
+    void endWithdrawn() {
+        failUnsent(AttemptFailure.WITHDRAWN, "the request may no longer be sent");
     }
 
     private void failUnsent(AttemptFailure failure, String reason) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.onFailure(failure, reason);
         }
     }
 
-    /** Lets go of the connection before the end is told, as it may serve another request from then on. */
-    private final class Relay implements AttemptListener {
+    /**
+     * Forwards events to the listener of the attempt. Releases the connection before it reports the end, because the
+     * connection may serve another request from then on.
+     */
+    private final class ConnectionEvents implements AttemptListener {
         @Override
         public void onHead(AnswerHead head) {
             listener.onHead(head);
@@ -95,14 +101,14 @@
         @Override
         public void onEnd() {
             connection = null;
-            over = true;
+            finished = true;
             listener.onEnd();
         }
 
         @Override
         public void onFailure(AttemptFailure failure, String reason) {
             connection = null;
-            over = true;
+            finished = true;
             listener.onFailure(failure, reason);
         }
     }
--- a/direct/src/main/java/org/streamring/direct/backend/BackendConnection.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendConnection.java
@@ -18,10 +18,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a backend server; it serves one request at a time.
+ * A connection to a backend server that carries one request at a time.
  *
- * <p>An answer that does not carry the identifier of the request in progress is a surplus one and is skipped; bytes
- * while no request is in progress close the connection. Confined to the channel's event loop.
+ * <p>An answer with an identifier other than that of the request in progress is surplus and skipped. Bytes received
+ * while no request is in progress close the connection. Confined to the event loop of the channel.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
     private final BackendPool pool;
@@ -31,12 +31,12 @@
     private @Nullable AttemptListener listener;
     private boolean skipping;
     private boolean headSeen;
-    private boolean answerHasFraming;
+    private boolean answerHasLength;
     private boolean reusable;
     private long keepAliveMillis;
     private long lastUseMillis;
     private long startedMillis;
-    private long heardMillis;
+    private long lastReadMillis;
     private boolean paused;
     private int requests;
 
@@ -65,29 +65,29 @@
         return listener != null;
     }
 
-    /** A connection that this side does not read for its caller's sake is not silent. */
+    /** Returns {@link Silence#NONE} while reading is paused because the caller reads slowly. */
     Silence silence(long millis) {
         return paused ? Silence.NONE : pool.silence(this, millis);
     }
 
-    /** When something was last heard of the request in progress, or when it was sent. */
+    /** Returns when data was last received for the request in progress, or when that request was sent. */
     long quietSinceMillis() {
-        return Math.max(startedMillis, heardMillis);
+        return Math.max(startedMillis, lastReadMillis);
     }
 
-    /** Whether the request in progress is not the first one. */
+    /** Returns whether an earlier request was sent on this connection. */
     boolean reused() {
         return requests > 1;
     }
 
-    /** Urgency of the request in progress, 0 being the most urgent. */
+    /** Returns the urgency of the request in progress; 0 is the most urgent. */
     int urgency() {
         return request == null ? 0 : request.urgency();
     }
 
-    /** Whether this connection's first request was sent by then and has heard nothing. */
-    boolean waitsSinceItsOpening(long millis) {
-        return busy() && !reused() && heardMillis < startedMillis && startedMillis < millis;
+    /** Returns whether the first request of this connection was sent before the given time and nothing was received. */
+    boolean firstRequestUnansweredSince(long millis) {
+        return busy() && !reused() && lastReadMillis < startedMillis && startedMillis < millis;
     }
 
     void send(BackendRequest next, AttemptListener nextListener, long nowMillis) {
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Gives the request up by a reset, which drops what of it the operating system still holds; a close would send that
-     * first, for seconds where the box's link is full.
+     * Cancels the request by resetting the connection, which discards the bytes in the send buffer of the operating
+     * system. A normal close would send them first, which takes seconds if the link of the box is saturated.
      */
     void cancel() {
         listener = null;
@@ -127,7 +127,7 @@
 
     void pauseReading(boolean pause) {
         if (paused && !pause) {
-            heardMillis = pool.nowMillis();
+            lastReadMillis = pool.nowMillis();
         }
         paused = pause;
         if (channel != null) {
@@ -138,10 +138,10 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            pool.heard();
-            heardMillis = pool.nowMillis();
+            pool.recordActivity();
+            lastReadMillis = pool.nowMillis();
             if (listener == null) {
-                noticeSurplus(message);
+                reportSurplusAnswer(message);
                 close();
                 return;
             }
@@ -156,16 +156,16 @@
         }
     }
 
-    /** An answer that nobody waits for still tells something of its server. */
-    private void noticeSurplus(Object message) {
+    /** Reports the notices in an answer that no request waits for; they still describe the state of the server. */
+    private void reportSurplusAnswer(Object message) {
         if (message instanceof HttpResponse response && response.decoderResult().isSuccess()) {
-            pool.noticed(response, 0);
+            pool.reportNotices(response, 0);
         }
     }
 
     private void readHead(HttpResponse response) {
         if (response.decoderResult().isFailure()) {
-            fail("bytes that are no answer");
+            fail("received bytes that are not an HTTP response");
             return;
         }
         if (response.status().code() < 200) {
@@ -174,25 +174,25 @@
         }
         String id = response.headers().get(requestIdHeader);
         skipping = id != null && request != null && !id.equals(request.id());
-        pool.noticed(response, skipping ? 0 : startedMillis);
+        pool.reportNotices(response, skipping ? 0 : startedMillis);
         if (skipping) {
             return;
         }
         if (id == null && response.status().code() < 300) {
-            fail("a success without the request's identifier");
+            fail("successful answer without the identifier of the request");
             return;
         }
         headSeen = true;
-        pool.answered(urgency(), startedMillis);
+        pool.recordAnswer(urgency(), startedMillis);
         reusable = HttpUtil.isKeepAlive(response);
-        answerHasFraming = HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
-        keepAliveMillis = KeepAlive.millis(response.headers().get("Keep-Alive"));
+        answerHasLength = HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
+        keepAliveMillis = KeepAlive.idleMillis(response.headers().get("Keep-Alive"));
         current().onHead(new AnswerHead(response.status().code(), response.headers()));
     }
 
     private void readContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            fail("the answer's body can't be read");
+            fail("the body of the answer cannot be decoded");
             return;
         }
         boolean last = content instanceof LastHttpContent;
@@ -219,8 +219,8 @@
         request = null;
         lastUseMillis = pool.nowMillis();
         pauseReading(false);
-        if (reusable && answerHasFraming) {
-            pool.idle(this);
+        if (reusable && answerHasLength) {
+            pool.returnIdle(this);
         } else {
             close();
         }
@@ -247,7 +247,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.closed(this);
-        fail("the connection was closed");
+        pool.removeClosed(this);
+        fail("the connection was closed before the answer was complete");
     }
 }
--- a/direct/src/main/java/org/streamring/direct/backend/BackendPool.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendPool.java
@@ -20,12 +20,12 @@
 import org.streamring.net.process.TcpClient;
 import org.streamring.platform.node.ForwardingHeaders;
 
-/** Connections to one backend server. Confined to the event loop. */
+/** Connection pool of one backend server. Confined to the event loop. */
 public final class BackendPool {
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
     private static final int MAX_HEAD_BYTES = 65_536;
     private static final int MAX_CHUNK_BYTES = 65_536;
-    private static final long FRESH_MILLIS = 1_500;
+    private static final long MAX_FRESH_IDLE_MILLIS = 1_500;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -38,16 +38,16 @@
     private final Deque<BackendConnection> idle = new ArrayDeque<>();
     private final Set<BackendConnection> open = new HashSet<>();
     private final RecentAnswers answers = new RecentAnswers();
-    private final EndCheck endCheck;
-    private long heardMillis;
+    private final ProcessExitCheck exitCheck;
+    private long lastActivityMillis;
 
     /**
      * Creates an empty pool.
      *
-     * @param headers names of headers
-     * @param clock milliseconds of a steady clock
-     * @param onConnecting told how long each new connection took, or was waited for in vain, in milliseconds
-     * @param noticeListener told what the server says of itself
+     * @param headers names of the headers that the platform uses
+     * @param clock monotonic clock in milliseconds
+     * @param onConnecting receives the milliseconds that each connection attempt took until it succeeded or timed out
+     * @param noticeListener receives the notices that the server sends about itself
      */
     public BackendPool(
             EventLoop loop,
@@ -64,15 +64,15 @@
         this.notices = new NoticeReader(headers.leaving());
         this.limits = new LimitReader(headers.limit());
         this.noticeListener = noticeListener;
-        this.heardMillis = clock.getAsLong();
-        this.endCheck = new EndCheck(loop, address, CONNECT_TIMEOUT_MILLIS, () -> !open.isEmpty());
+        this.lastActivityMillis = clock.getAsLong();
+        this.exitCheck = new ProcessExitCheck(loop, address, CONNECT_TIMEOUT_MILLIS, () -> !open.isEmpty());
     }
 
     /**
-     * Starts an attempt; the result is for cancelling it.
+     * Starts an attempt and returns a handle to cancel it.
      *
-     * @param mayBeSent asked when a connection is there that was not at once: the server may have said meanwhile that
-     *     it takes nothing, or the caller may have left
+     * @param mayBeSent checked after a new connection was opened for the request: meanwhile the server may have
+     *     announced that it accepts no requests, or the caller may have disconnected
      */
     public BackendAttempt begin(BackendRequest request, BooleanSupplier mayBeSent, AttemptListener listener) {
         BackendAttempt attempt = new BackendAttempt(listener);
@@ -86,41 +86,44 @@
     }
 
     /**
-     * Judges a connection on which a request waits.
+     * Checks whether a connection with a pending request, or its server, is unresponsive.
      *
-     * <p>Each connection is judged by itself: where all were judged together, one that spoke hid one that was silent,
-     * and a request that could have been sent elsewhere after 1 s waited for its whole time.
+     * <p>Each connection is checked individually. If all connections were checked together, one that receives data
+     * would hide one that does not, and a request that could be sent elsewhere after 1 s would wait until its deadline.
      *
-     * @param millis a sound server answers within this time, or starts to
+     * @param millis time in milliseconds within which a healthy server starts to answer
      */
     Silence silence(BackendConnection connection, long millis) {
         long now = clock.getAsLong();
-        boolean unheard = now - heardMillis > millis;
-        if (unheard && open.stream().anyMatch(each -> each.waitsSinceItsOpening(now - millis))) {
+        boolean serverInactive = now - lastActivityMillis > millis;
+        if (serverInactive && open.stream().anyMatch(each -> each.firstRequestUnansweredSince(now - millis))) {
             return Silence.BACKEND;
         }
         boolean quiet = connection.busy() && now - connection.quietSinceMillis() > millis;
-        boolean overtaken = answers.overtook(connection.urgency(), connection.quietSinceMillis());
-        return quiet && (overtaken || (unheard && connection.reused())) ? Silence.CONNECTION : Silence.NONE;
+        boolean laterRequestAnswered =
+                answers.answeredLaterRequest(connection.urgency(), connection.quietSinceMillis());
+        return quiet && (laterRequestAnswered || (serverInactive && connection.reused()))
+                ? Silence.CONNECTION
+                : Silence.NONE;
     }
 
-    /** Finds out whether the server's process has ended, after an attempt broke off. */
+    /** Checks after a broken attempt whether the process of the server has exited, and passes on the result. */
     public void checkEnded(Consumer<Boolean> then) {
-        endCheck.ask(then);
+        exitCheck.run(then);
     }
 
-    /** Closes idle connections that were last used by then, as they may have fallen silent since. */
+    /** Closes idle connections that were last used at or before the given time, as they may have failed since. */
     public void closeIdleUnheardSince(long millis) {
         idle.removeIf(each -> {
-            boolean unheard = each.lastUseMillis() <= millis;
-            if (unheard) {
+            boolean unusedSince = each.lastUseMillis() <= millis;
+            if (unusedSince) {
                 each.close();
             }
-            return unheard;
+            return unusedSince;
         });
     }
 
-    /** Closes idle connections that have rested too long. */
+    /** Closes idle connections whose keep-alive time has passed. */
     public void closeStale() {
         long now = clock.getAsLong();
         idle.removeIf(each -> {
@@ -138,7 +141,7 @@
         idle.clear();
     }
 
-    /** Whether no connection is open. */
+    /** Returns whether no connection is open. */
     public boolean isEmpty() {
         return open.isEmpty();
     }
@@ -147,27 +150,31 @@
         return clock.getAsLong();
     }
 
-    void heard() {
-        heardMillis = clock.getAsLong();
+    void recordActivity() {
+        lastActivityMillis = clock.getAsLong();
     }
 
-    /** Notes the first byte of an answer. */
-    void answered(int urgency, long sentMillis) {
+    /** Records that the server has started to answer a request. */
+    void recordAnswer(int urgency, long sentMillis) {
         answers.add(urgency, sentMillis);
     }
 
-    /** Takes what an answer's head says of the server; its request was sent then, or 0 if that is not known. */
-    void noticed(HttpResponse response, long sentMillis) {
+    /**
+     * Passes the notices in the head of an answer to the listener.
+     *
+     * @param sentMillis when the request of the answer was sent; 0 if that is not known
+     */
+    void reportNotices(HttpResponse response, long sentMillis) {
         int status = response.status().code();
         HttpHeaders headers = response.headers();
         noticeListener.answered(status, notices.read(status, headers), limits.read(headers), sentMillis);
     }
 
-    void idle(BackendConnection connection) {
+    void returnIdle(BackendConnection connection) {
         idle.addFirst(connection);
     }
 
-    void closed(BackendConnection connection) {
+    void removeClosed(BackendConnection connection) {
         idle.remove(connection);
         open.remove(connection);
     }
@@ -178,7 +185,7 @@
         if (first == null) {
             return null;
         }
-        if (freshOnly && clock.getAsLong() - first.lastUseMillis() > FRESH_MILLIS) {
+        if (freshOnly && clock.getAsLong() - first.lastUseMillis() > MAX_FRESH_IDLE_MILLIS) {
             return null;
         }
         return idle.pollFirst();
@@ -198,17 +205,17 @@
                 onConnecting.accept(clock.getAsLong() - beganMillis);
             }
             if (!done.isSuccess()) {
-                attempt.notSent(String.valueOf(done.cause()));
+                attempt.endNotSent(String.valueOf(done.cause()));
                 return;
             }
             connection.opened(connecting.channel());
             open.add(connection);
-            heard();
+            recordActivity();
             if (mayBeSent.getAsBoolean()) {
                 attempt.run(connection, request, clock.getAsLong());
             } else {
                 connection.close();
-                attempt.withdrawn();
+                attempt.endWithdrawn();
             }
         });
     }
--- a/direct/src/main/java/org/streamring/direct/backend/BackendRequest.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendRequest.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A request as it goes to a backend server.
+ * A request as it is sent to a backend server.
  *
- * @param id identifier that the answer must repeat
- * @param method method
- * @param target request target, unchanged from the caller's
- * @param headers headers without those of one connection
- * @param body whole body
- * @param urgency 0 being the most urgent, to 9
- * @param freshOnly whether an idle connection must have been used a moment ago, as the request can't be repeated
+ * @param id identifier that the answer has to repeat
+ * @param method HTTP method
+ * @param target request target, unchanged from the request of the caller
+ * @param headers headers without hop-by-hop headers
+ * @param body complete body
+ * @param urgency urgency from 0, the most urgent, to 9
+ * @param freshOnly whether only a recently used idle connection may be reused, because the request is not repeatable
  */
-@SuppressWarnings("ArrayRecordComponent") // bytes are handed on, not copied
+@SuppressWarnings("ArrayRecordComponent") // the array is passed on without a copy
 public record BackendRequest(
         String id,
         HttpMethod method,
--- a/direct/src/main/java/org/streamring/direct/backend/LimitReader.java
+++ b/direct/src/main/java/org/streamring/direct/backend/LimitReader.java
@@ -6,22 +6,22 @@
 import java.util.regex.Pattern;
 import org.streamring.kernel.permit.LimitWord;
 
-/** Reads from an answer's head how many requests a second its backend server takes from all entries together. */
+/** Reads from an answer how many requests per second its backend server accepts from all entries together. */
 final class LimitReader {
     private static final Pattern NUMBER = Pattern.compile("\\d{1,15}(\\.\\d{1,15})?([eE]\\+?\\d{1,2})?");
 
     private final String header;
 
     /**
-     * Creates one.
+     * Creates a reader.
      *
-     * @param header header by which a server names its limit
+     * @param header name of the header in which a server announces its limit
      */
     LimitReader(String header) {
         this.header = header;
     }
 
-    /** Of several numbers the smallest counts. */
+    /** Reads the limit; if the header is present several times, the smallest valid number applies. */
     LimitWord read(HttpHeaders headers) {
         List<String> values = headers.getAll(header);
         if (values.isEmpty()) {
--- a/direct/src/main/java/org/streamring/direct/backend/NoticeReader.java
+++ b/direct/src/main/java/org/streamring/direct/backend/NoticeReader.java
@@ -8,45 +8,45 @@
 import org.jspecify.annotations.Nullable;
 import org.streamring.kernel.availability.BackendNotice;
 
-/** Reads from an answer's head what the backend server says of itself. */
+/** Reads from the head of an answer whether the backend server is shutting down or requests a back-off. */
 final class NoticeReader {
     /**
-     * Of a longer time this much is heeded, so that a mistaken value doesn't keep a server unused for a day. One that
-     * means it says so again at the single request that then tries it.
+     * Longest back-off. Longer values are shortened to it, so that a wrong value does not keep a server unused for a
+     * day. A server that needs more time requests it again in its answer to the single probe request that follows.
      */
-    static final long LONGEST_REST_MILLIS = TimeUnit.MINUTES.toMillis(10);
+    static final long MAX_BACK_OFF_MILLIS = TimeUnit.MINUTES.toMillis(10);
 
     private static final Pattern SECONDS = Pattern.compile("\\d{1,15}(\\.\\d{1,15})?");
-    private static final String YES = "1";
+    private static final String SHUTTING_DOWN = "1";
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private final String leavingHeader;
+    private final String shutdownHeader;
 
     /**
-     * Creates one.
+     * Creates a reader.
      *
-     * @param leavingHeader header by which a server says that it leaves
+     * @param shutdownHeader name of the header in which a server announces that it is shutting down
      */
-    NoticeReader(String leavingHeader) {
-        this.leavingHeader = leavingHeader;
+    NoticeReader(String shutdownHeader) {
+        this.shutdownHeader = shutdownHeader;
     }
 
     BackendNotice read(int status, HttpHeaders headers) {
-        boolean leaving = YES.equals(trimmed(headers.get(leavingHeader)));
-        long rest = status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
-                ? restMillis(headers.get(HttpHeaderNames.RETRY_AFTER))
+        boolean shuttingDown = SHUTTING_DOWN.equals(trimmed(headers.get(shutdownHeader)));
+        long backOff = status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+                ? backOffMillis(headers.get(HttpHeaderNames.RETRY_AFTER))
                 : 0;
-        return leaving || rest > 0 ? new BackendNotice(leaving, rest) : BackendNotice.NONE;
+        return shuttingDown || backOff > 0 ? new BackendNotice(shuttingDown, backOff) : BackendNotice.NONE;
     }
 
-    /** Anything but a number of seconds, such as a date, asks for no rest that could be told. */
-    private static long restMillis(@Nullable String header) {
+    /** Converts a Retry-After value to milliseconds; 0 unless it is a number of seconds. Dates are not supported. */
+    private static long backOffMillis(@Nullable String header) {
         String seconds = trimmed(header);
         if (!SECONDS.matcher(seconds).matches()) {
             return 0;
         }
         double millis = Double.parseDouble(seconds) * MILLIS_PER_SECOND;
-        return (long) Math.ceil(Math.min(millis, (double) LONGEST_REST_MILLIS));
+        return (long) Math.ceil(Math.min(millis, (double) MAX_BACK_OFF_MILLIS));
     }
 
     private static String trimmed(@Nullable String header) {
--- a/direct/src/main/java/org/streamring/direct/backend/RecentAnswers.java
+++ b/direct/src/main/java/org/streamring/direct/backend/RecentAnswers.java
@@ -3,28 +3,28 @@
 import java.util.Arrays;
 
 /**
- * When the newest request of each urgency was sent that a backend server has begun to answer.
+ * Records for each urgency the latest send time of the requests that a backend server has started to answer.
  *
- * <p>A server takes more urgent requests first, so only answers to equally or less urgent ones show that it could have
- * answered an earlier request as well. Confined to one thread.
+ * <p>A server processes more urgent requests first. Only an answer to an equally or less urgent request therefore shows
+ * that the server could have answered an earlier request as well. Confined to one thread.
  */
 final class RecentAnswers {
-    /** Urgencies of the platform, 0 being the most urgent. */
-    private static final int URGENCIES = 10;
+    /** Number of urgency levels of the platform; 0 is the most urgent. */
+    private static final int URGENCY_LEVELS = 10;
 
-    private final long[] newestSentMillis = new long[URGENCIES];
+    private final long[] latestSentMillis = new long[URGENCY_LEVELS];
 
     RecentAnswers() {
-        Arrays.fill(newestSentMillis, Long.MIN_VALUE);
+        Arrays.fill(latestSentMillis, Long.MIN_VALUE);
     }
 
-    /** Notes that a request has begun to be answered. */
+    /** Records that the server has started to answer a request. */
     void add(int urgency, long sentMillis) {
-        newestSentMillis[urgency] = Math.max(newestSentMillis[urgency], sentMillis);
+        latestSentMillis[urgency] = Math.max(latestSentMillis[urgency], sentMillis);
     }
 
-    /** Whether a request was answered that was sent after a moment and is not more urgent. */
-    boolean overtook(int urgency, long quietSinceMillis) {
-        return Arrays.stream(newestSentMillis, urgency, URGENCIES).anyMatch(sent -> sent > quietSinceMillis);
+    /** Returns whether a request that was sent after the given time and is not more urgent has been answered. */
+    boolean answeredLaterRequest(int urgency, long sinceMillis) {
+        return Arrays.stream(latestSentMillis, urgency, URGENCY_LEVELS).anyMatch(sent -> sent > sinceMillis);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/backend/Silence.java
+++ b/direct/src/main/java/org/streamring/direct/backend/Silence.java
@@ -1,11 +1,11 @@
 package org.streamring.direct.backend;
 
-/** What the silence of an attempt's connection means. */
+/** Result of checking whether the connection of an attempt, or its backend server, is unresponsive. */
 public enum Silence {
-    /** Nothing out of the ordinary. */
+    /** Neither the connection nor the backend server is considered unresponsive. */
     NONE,
-    /** The connection is silent; its backend server may be sound. */
+    /** The connection is unresponsive; its backend server may be healthy. */
     CONNECTION,
-    /** The backend server answers nothing, also over a connection that was made for its request. */
+    /** The backend server is unresponsive, even on a connection that was newly opened for a request. */
     BACKEND
 }
--- a/direct/src/main/java/org/streamring/direct/backend/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/backend/package-info.java
@@ -1,4 +1,4 @@
-/** Connections to backend servers, and attempts on them. */
+/** Connections to backend servers and the attempts that are sent on them. */
 @NullMarked
 package org.streamring.direct.backend;
 
--- a/direct/src/test/java/org/streamring/direct/backend/BackendPoolTest.java
+++ b/direct/src/test/java/org/streamring/direct/backend/BackendPoolTest.java
@@ -25,8 +25,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A request may wait up to half a second for its connection, and its server may say meanwhile, to another request, that
- * it leaves or wants rest; so whether it may be sent is asked again then.
+ * Guards against sending a request to a server that no longer accepts it. Opening a connection may take up to half a
+ * second. Meanwhile, the server may announce in the answer to another request that it is shutting down or requests a
+ * back-off, so the pool checks again whether the request may be sent.
  */
 public class BackendPoolTest {
     private static final BackendRequest REQUEST =
@@ -59,7 +60,7 @@
     }
 
     @Test
-    public void aRequestWhoseServerTakesNothingWhenItsConnectionIsThereIsNotSent() throws Exception {
+    public void aRequestIsNotSentIfItsServerStopsAcceptingRequestsWhileItsConnectionIsOpened() throws Exception {
         AtomicBoolean mayBeSent = new AtomicBoolean(true);
         Outcome outcome = new Outcome();
         loops.next()
@@ -71,13 +72,13 @@
         assertThat(outcome.failure.get(5, TimeUnit.SECONDS)).isEqualTo(AttemptFailure.WITHDRAWN);
         try (Socket accepted = server.accept()) {
             assertThat(accepted.getInputStream().read())
-                    .as("it is closed without a byte")
+                    .as("the connection is closed without a byte")
                     .isEqualTo(-1);
         }
     }
 
     @Test
-    public void anAnswerToAnotherRequestTellsOfItsServerToo() throws Exception {
+    public void theNoticesInAnAnswerToAnotherRequestAreReported() throws Exception {
         Outcome outcome = new Outcome();
         loops.next().submit(() -> pool.begin(REQUEST, () -> true, outcome)).sync();
         try (Socket accepted = server.accept()) {
@@ -92,7 +93,7 @@
     }
 
     @Test
-    public void aRequestCanBeGivenUpOnAConnectionThatIsClosedAlready() throws Exception {
+    public void aRequestCanBeCancelledOnAClosedConnection() throws Exception {
         NioSocketChannel channel = new NioSocketChannel();
         EventLoop loop = loops.next();
         loop.register(channel).sync();
@@ -122,8 +123,8 @@
         public void onEnd() {}
 
         @Override
-        public void onFailure(AttemptFailure what, String reason) {
-            failure.complete(what);
+        public void onFailure(AttemptFailure cause, String reason) {
+            failure.complete(cause);
         }
     }
 }
--- a/direct/src/test/java/org/streamring/direct/backend/LimitReaderTest.java
+++ b/direct/src/test/java/org/streamring/direct/backend/LimitReaderTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test(dataProvider = "numbers")
-    public void aDecimalNumberIsALimit(String value, double perSecond) {
+    public void aDecimalNumberIsReadAsALimit(String value, double perSecond) {
         assertThat(reader.read(headers(value))).isEqualTo(LimitWord.named(perSecond));
     }
 
@@ -39,17 +39,17 @@
     }
 
     @Test(dataProvider = "badValues")
-    public void anythingElseIsUnreadable(String value) {
+    public void anyOtherValueIsUnreadable(String value) {
         assertThat(reader.read(headers(value))).isEqualTo(LimitWord.UNREADABLE);
     }
 
     @Test
-    public void anAnswerWithoutTheHeaderNamesNone() {
+    public void anAnswerWithoutTheHeaderAnnouncesNoLimit() {
         assertThat(reader.read(headers())).isEqualTo(LimitWord.NONE);
     }
 
     @Test
-    public void ofSeveralTheSmallestCounts() {
+    public void theSmallestOfSeveralLimitsApplies() {
         assertThat(reader.read(headers("3", "2", "x"))).isEqualTo(LimitWord.named(2));
     }
 
--- a/direct/src/test/java/org/streamring/direct/backend/NoticeReaderTest.java
+++ b/direct/src/test/java/org/streamring/direct/backend/NoticeReaderTest.java
@@ -9,12 +9,12 @@
 import org.testng.annotations.Test;
 
 public class NoticeReaderTest {
-    private static final String LEAVING = "Leaving";
+    private static final String SHUTDOWN_HEADER = "Leaving";
 
-    private final NoticeReader reader = new NoticeReader(LEAVING);
+    private final NoticeReader reader = new NoticeReader(SHUTDOWN_HEADER);
 
     @DataProvider
-    public Object[][] rests() {
+    public Object[][] retryAfterValues() {
         return new Object[][] {
             {"3", 3_000},
             {"0.25", 250},
@@ -27,35 +27,36 @@
             {"NaN", 0},
             {"Infinity", 0},
             {"Fri, 31 Dec 1999 23:59:59 GMT", 0},
-            {"86400", NoticeReader.LONGEST_REST_MILLIS},
-            {"999999999999999", NoticeReader.LONGEST_REST_MILLIS},
+            {"86400", NoticeReader.MAX_BACK_OFF_MILLIS},
+            {"999999999999999", NoticeReader.MAX_BACK_OFF_MILLIS},
             {"9".repeat(400), 0},
         };
     }
 
-    @Test(dataProvider = "rests")
-    public void aRestIsANumberOfSecondsAndNeverLong(String header, long millis) {
+    @Test(dataProvider = "retryAfterValues")
+    public void retryAfterIsReadAsSecondsUpToTheMaximum(String header, long millis) {
         assertThat(reader.read(503, headers("Retry-After", header)).restMillis())
                 .isEqualTo(millis);
     }
 
     @Test
-    public void onlyAServerThatTurnsARequestAwayAsksForRest() {
+    public void retryAfterIsReadOnlyFromAnswersWithStatus503() {
         assertThat(reader.read(200, headers("Retry-After", "3"))).isEqualTo(BackendNotice.NONE);
         assertThat(reader.read(503, new DefaultHttpHeaders())).isEqualTo(BackendNotice.NONE);
     }
 
     @Test
-    public void anAnswerOfAnyStatusSaysThatItsServerLeaves() {
+    public void theShutdownHeaderIsReadFromAnswersOfAnyStatus() {
         for (int status : new int[] {200, 404, 421, 500, 503}) {
-            assertThat(reader.read(status, headers(LEAVING, "1")).leaving()).isTrue();
+            assertThat(reader.read(status, headers(SHUTDOWN_HEADER, "1")).leaving())
+                    .isTrue();
         }
     }
 
     @Test
-    public void anotherValueSaysNothing() {
-        assertThat(reader.read(200, headers(LEAVING, "0")).leaving()).isFalse();
-        assertThat(reader.read(200, headers(LEAVING, "")).leaving()).isFalse();
+    public void otherValuesOfTheShutdownHeaderAreIgnored() {
+        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "0")).leaving()).isFalse();
+        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "")).leaving()).isFalse();
     }
 
     private static HttpHeaders headers(String name, String value) {
--- a/direct/src/test/java/org/streamring/direct/backend/RecentAnswersTest.java
+++ b/direct/src/test/java/org/streamring/direct/backend/RecentAnswersTest.java
@@ -20,15 +20,15 @@
     }
 
     @Test(dataProvider = "requests")
-    public void aRequestIsOvertakenByALaterOneThatIsNotMoreUrgent(
-            String name, int urgency, long quietSince, boolean overtaken) {
+    public void anAnswerCountsOnlyIfItsRequestWasSentLaterAndIsNotMoreUrgent(
+            String name, int urgency, long since, boolean laterAnswered) {
         RecentAnswers answers = new RecentAnswers();
         answers.add(3, SENT);
-        assertThat(answers.overtook(urgency, quietSince)).as(name).isEqualTo(overtaken);
+        assertThat(answers.answeredLaterRequest(urgency, since)).as(name).isEqualTo(laterAnswered);
     }
 
     @Test
-    public void withoutAnswersNothingIsOvertaken() {
-        assertThat(new RecentAnswers().overtook(0, Long.MIN_VALUE)).isFalse();
+    public void withoutAnswersNoLaterRequestWasAnswered() {
+        assertThat(new RecentAnswers().answeredLaterRequest(0, Long.MIN_VALUE)).isFalse();
     }
 }
