--- a/direct/src/main/java/org/streamring/direct/suspect/SuspectExchange.java
+++ b/direct/src/main/java/org/streamring/direct/suspect/SuspectExchange.java
@@ -20,18 +20,23 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Tells all entries which requests ran where a server ended, and hears it from them: over connections, which also works
- * while the store is away, and by a row of each entry, which reaches those that aren't connected and tells what its box
- * saw before its last start. Confined to the event loop.
+ * Exchanges reports with the other entries about requests that were running on a server when its process ended.
+ *
+ * <p>Reports are sent over the connections between entries, which works during a store outage as well. Each entry also
+ * writes its report to its own row in the store. The row reaches entries that are not connected, and restores what the
+ * entry observed on its box before its last restart. Confined to the event loop.
  */
 public final class SuspectExchange implements TableWatch.Listener {
-    /** Table of the rows, which are named by their entries. */
+    /** Table that holds one row per entry; the key of a row is the name of the entry. */
     public static final String TABLE = "streamring-suspects";
 
-    /** A server's end breaks off many requests within a few milliseconds; they share a row. */
-    private static final long SOON_MILLIS = 10;
-    /** What can wait is told at this pace, and what the store did not take is written again. */
-    private static final long TICK_MILLIS = 1_000;
+    /**
+     * Delay before a report is sent. When a server process ends, many requests break within a few milliseconds; they
+     * are sent in one report.
+     */
+    private static final long REPORT_DELAY_MILLIS = 10;
+    /** Interval at which less urgent changes are written, and failed writes are repeated. */
+    private static final long TICK_INTERVAL_MILLIS = 1_000;
 
     private final EventLoop loop;
     private final RowStore store;
@@ -44,10 +49,10 @@
     private long ownVersion;
     private boolean listed;
     private boolean writing;
-    private boolean unwritten;
-    private boolean tellingSoon;
+    private boolean writePending;
+    private boolean reportScheduled;
 
-    /** Creates one; nothing is written before {@link #start}. */
+    /** Creates an exchange; nothing is written before {@link #start}. */
     public SuspectExchange(
             EventLoop loop,
             RowStore store,
@@ -65,27 +70,27 @@
         this.log = log;
     }
 
-    /** Starts to tell and to listen. */
+    /** Starts to send and receive reports. */
     public void start() {
         peers.listen(this::received);
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells what is news, if there is any. */
+    /** Schedules a report to the other entries if there are changes that have to be sent at once. */
     public void tellNews() {
-        if (table.hasNews() && !tellingSoon) {
-            tellingSoon = true;
-            loop.schedule(this::tell, SOON_MILLIS, TimeUnit.MILLISECONDS);
+        if (table.hasNews() && !reportScheduled) {
+            reportScheduled = true;
+            loop.schedule(this::sendReport, REPORT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tell() {
-        tellingSoon = false;
+    private void sendReport() {
+        reportScheduled = false;
         String report = codec.write(table.report());
         peers.tellAll(Frame.newBuilder()
                 .setSuspectNews(SuspectNews.newBuilder().setReport(report))
                 .build());
-        unwritten = true;
+        writePending = true;
         write();
     }
 
@@ -108,12 +113,12 @@
     }
 
     private void write() {
-        boolean changed = unwritten || table.hasChanged();
+        boolean changed = writePending || table.hasChanged();
         if (!changed || writing || !listed) {
             return;
         }
         writing = true;
-        unwritten = false;
+        writePending = false;
         String value = codec.write(table.report());
         store.commit(List.of(new RowChange(ownKey, ownVersion, value)))
                 .whenComplete((result, failure) -> written(result, failure));
@@ -126,7 +131,7 @@
             write();
             return;
         }
-        unwritten = true;
+        writePending = true;
         if (failure == null) {
             result.current().stream()
                     .filter(row -> row.key().equals(ownKey))
@@ -137,18 +142,18 @@
 
     @Override
     public void listed(List<StoredRow> rows) {
-        rows.forEach(this::hear);
+        rows.forEach(this::readRow);
         listed = true;
         tellNews();
     }
 
     @Override
     public void changed(StoredRow row) {
-        hear(row);
+        readRow(row);
         tellNews();
     }
 
-    private void hear(StoredRow row) {
+    private void readRow(StoredRow row) {
         if (row.removed()) {
             return;
         }
--- a/direct/src/main/java/org/streamring/direct/suspect/SuspectLog.java
+++ b/direct/src/main/java/org/streamring/direct/suspect/SuspectLog.java
@@ -6,11 +6,11 @@
 import org.streamring.kernel.suspect.RequestDigest;
 import org.streamring.kernel.suspect.SuspectEvents;
 
-/** Logs which requests are no longer sent. */
+/** Logs when requests are blocked from being sent to backend servers, and when they are unblocked. */
 public final class SuspectLog implements SuspectEvents {
     private final DecisionLog log;
 
-    /** Creates one. */
+    /** Creates a listener that writes to the given log. */
     public SuspectLog(DecisionLog log) {
         this.log = log;
     }
--- a/direct/src/main/java/org/streamring/direct/suspect/SuspectRowCodec.java
+++ b/direct/src/main/java/org/streamring/direct/suspect/SuspectRowCodec.java
@@ -16,14 +16,15 @@
 import org.streamring.kernel.suspect.SuspectReport;
 
 /**
- * Text form of a report: {@code {"crashes": {server: {request: round, …}, …}, "cleared": {request: [server, …], …}}}.
- * Parts of another form are passed over, as a newer entry may write them.
+ * Converts reports to and from JSON:
+ * {@code {"crashes": {server: {request: round, …}, …}, "cleared": {request: [server, …], …}}}.
+ * Parts in another format are ignored, as newer versions of an entry may write them.
  */
 final class SuspectRowCodec {
     private static final String CRASHES = "crashes";
     private static final String CLEARED = "cleared";
-    /** A request is blocked long before; a larger number is not one of ours. */
-    private static final int MOST_ROUNDS = 1_000;
+    /** Largest valid round. Requests are blocked long before it, so an entry never writes a larger number. */
+    private static final int MAX_ROUND = 1_000;
 
     private final ObjectMapper json = new ObjectMapper();
 
@@ -42,7 +43,7 @@
         return tree.toString();
     }
 
-    /** Reads a report; empty if the text is not of this form. */
+    /** Reads a report; empty if the text is not a JSON object. */
     Optional<SuspectReport> read(String text) {
         try {
             JsonNode tree = json.readTree(text);
@@ -71,7 +72,7 @@
     }
 
     private static boolean isRound(JsonNode value) {
-        return value.isInt() && value.asInt() > 0 && value.asInt() <= MOST_ROUNDS;
+        return value.isInt() && value.asInt() > 0 && value.asInt() <= MAX_ROUND;
     }
 
     private static Map<RequestDigest, Set<String>> cleared(JsonNode tree) {
--- a/direct/src/main/java/org/streamring/direct/suspect/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/suspect/package-info.java
@@ -1,4 +1,4 @@
-/** Tells the other entries of requests under which servers ended, through rows of the store. */
+/** Exchange between entries of the requests that were running on backend servers whose processes ended. */
 @NullMarked
 package org.streamring.direct.suspect;
 
--- a/direct/src/test/java/org/streamring/direct/suspect/SuspectRowCodecTest.java
+++ b/direct/src/test/java/org/streamring/direct/suspect/SuspectRowCodecTest.java
@@ -14,14 +14,14 @@
     private final SuspectRowCodec codec = new SuspectRowCodec();
 
     @Test
-    public void aReportIsReadAsItWasWritten() {
+    public void aReportIsReadBackAsItWasWritten() {
         SuspectReport report = new SuspectReport(
                 Map.of("i-1@5", Map.of(REQUEST, 2), "i-2@0", Map.of()), Map.of(REQUEST, Set.of("i-1@5", "i-3@9")));
         assertThat(codec.read(codec.write(report))).contains(report);
     }
 
     @Test
-    public void textOfAnotherFormIsNoReport() {
+    public void textInAnotherFormatIsNotReadAsAReport() {
         assertThat(codec.read("")).isEmpty();
         assertThat(codec.read("[1,2]")).isEmpty();
         assertThat(codec.read("{\"crashes\":")).isEmpty();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void oneBadItemDoesNotLoseTheOthers() {
+    public void anInvalidItemDoesNotAffectTheOthers() {
         String text = "{\"crashes\":{\"i-1@1\":{\"a\":\"2\",\"b\":-1,\"c\":2147483647,\"d\":3.5,\"e\":1},\"i-2@1\":7},"
                 + "\"cleared\":\"all\",\"other\":[]}";
         assertThat(codec.read(text).orElseThrow().crashes())
