--- a/direct/src/main/java/org/streamring/direct/DirectEntry.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntry.java
@@ -245,19 +245,19 @@
 
     /** One entry of the fleet tries a request whose block is over; before the entries are known, none does. */
     private boolean triesHere(RequestDigest request) {
-        return RendezvousHash.order(request.text(), members.mayLive()).stream()
+        return RendezvousHash.order(request.text(), members.possiblyLive()).stream()
                 .findFirst()
                 .filter(settings.nodeName()::equals)
                 .isPresent();
     }
 
     private Set<String> entriesThatMayLive() {
-        return members.mayLive();
+        return members.possiblyLive();
     }
 
     /** Entries that all others reach: in a small fleet each that lives, also where the store doesn't tell of it yet. */
     private Set<String> permitOwners() {
-        if (members.mayLive().isEmpty()) {
+        if (members.possiblyLive().isEmpty()) {
             return Set.of();
         }
         Set<String> owners = new HashSet<>(homes.holders());
@@ -372,7 +372,7 @@
     /** Leases are waited for a while only: without them what needs none is served. */
     private boolean ready() {
         boolean leased = tokens.renewedOnce() || clock.getAsLong() > LEASES_WAITED_FOR.toMillis();
-        return !stopping && leased && configuration.inForce().isPresent() && backends.known();
+        return !stopping && leased && configuration.inForce().isPresent() && backends.loaded();
     }
 
     private CallerLimits limits() {
--- a/direct/src/main/java/org/streamring/direct/feed/BackendFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/BackendFeed.java
@@ -13,7 +13,7 @@
 import org.streamring.platform.node.MalformedRowException;
 import org.streamring.platform.node.OperatorRows;
 
-/** Feeds the registry of backend servers from their table. Confined to the event loop. */
+/** Updates the registry of backend servers from their table in the store. Confined to the event loop. */
 public final class BackendFeed implements TableWatch.Listener {
     private final OperatorRows rows;
     private final BackendRegistry registry;
@@ -21,14 +21,14 @@
     private final PlacementTable placement;
     private final LongSupplier clock;
     private final DecisionLog log;
-    private boolean known;
+    private boolean loaded;
 
     /**
-     * Creates one.
+     * Creates a feed.
      *
-     * @param registry told which backend servers there are
-     * @param cold told which of them are cold
-     * @param placement told which process answers under an identifier
+     * @param registry receives the listed backend servers
+     * @param cold receives how long each backend server is still cold
+     * @param placement receives which process is listed under the identifier of a backend server
      */
     public BackendFeed(
             OperatorRows rows,
@@ -45,14 +45,14 @@
         this.log = log;
     }
 
-    /** Whether the table was read once. */
-    public boolean known() {
-        return known;
+    /** Returns whether the table has been read at least once. */
+    public boolean loaded() {
+        return loaded;
     }
 
     @Override
     public void listed(List<StoredRow> list) {
-        known = true;
+        loaded = true;
         List<BackendInstance> instances = new ArrayList<>();
         List<String> malformed = new ArrayList<>();
         for (StoredRow row : list) {
@@ -60,7 +60,7 @@
                     .ifPresentOrElse(
                             instances::add, () -> malformed.add(row.key().key()));
         }
-        instances.forEach(this::note);
+        instances.forEach(this::recordInstance);
         registry.replaceAll(instances, clock.getAsLong());
         malformed.forEach(registry::drop);
         log.line("backends_listed", "count", instances.size(), "unreadable", malformed.size());
@@ -79,13 +79,13 @@
                         () -> registry.drop(row.key().key()));
     }
 
-    private void note(BackendInstance instance) {
+    private void recordInstance(BackendInstance instance) {
         placement.listed(instance);
         cold.heard(instance.id(), instance.coldMillis(), clock.getAsLong());
     }
 
     private void put(BackendInstance instance, long version) {
-        note(instance);
+        recordInstance(instance);
         registry.put(instance, clock.getAsLong());
         log.line(
                 "backend_changed",
--- a/direct/src/main/java/org/streamring/direct/feed/ConfigurationFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/ConfigurationFeed.java
@@ -9,7 +9,7 @@
 import org.streamring.platform.node.MalformedRowException;
 import org.streamring.platform.node.OperatorRows;
 
-/** Keeps the newest configuration; a version never gives way to an older one. Confined to the event loop. */
+/** Holds the newest configuration; it is never replaced by an older version. Confined to the event loop. */
 public final class ConfigurationFeed implements TableWatch.Listener {
     private final OperatorRows rows;
     private final DecisionLog log;
@@ -17,9 +17,9 @@
     private Optional<RouteTable> inForce = Optional.empty();
 
     /**
-     * Creates one that knows no configuration.
+     * Creates a feed without a configuration.
      *
-     * @param changed called after each change
+     * @param changed called after each change of the configuration
      */
     public ConfigurationFeed(OperatorRows rows, DecisionLog log, Runnable changed) {
         this.rows = rows;
@@ -27,7 +27,7 @@
         this.changed = changed;
     }
 
-    /** The configuration in force; empty until one is known. */
+    /** Returns the configuration in force; empty until one has been read. */
     public Optional<RouteTable> inForce() {
         return inForce;
     }
@@ -43,15 +43,15 @@
             return;
         }
         try {
-            rows.configuration(row).ifPresent(this::take);
+            rows.configuration(row).ifPresent(this::apply);
         } catch (MalformedRowException e) {
             log.line("configuration_unreadable", "version", row.version(), "reason", e.getMessage());
         }
     }
 
-    private void take(RoutingConfiguration configuration) {
-        long known = inForce.map(RouteTable::version).orElse(Long.MIN_VALUE);
-        if (configuration.version() <= known) {
+    private void apply(RoutingConfiguration configuration) {
+        long currentVersion = inForce.map(RouteTable::version).orElse(Long.MIN_VALUE);
+        if (configuration.version() <= currentVersion) {
             return;
         }
         inForce = Optional.of(new RouteTable(configuration));
@@ -60,7 +60,7 @@
                 "config",
                 configuration.version(),
                 "before",
-                known,
+                currentVersion,
                 "routes",
                 configuration.routes().size(),
                 "accounts",
--- a/direct/src/main/java/org/streamring/direct/feed/EvacuationFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/EvacuationFeed.java
@@ -9,8 +9,8 @@
 import org.streamring.platform.node.OperatorRows;
 
 /**
- * Keeps which failure domains the operator has evacuated. What was read last stands while the store is away. Confined
- * to the event loop.
+ * Passes the failure domains that the operator has evacuated to the registry. During a store outage, the last state
+ * read remains in force. Confined to the event loop.
  */
 public final class EvacuationFeed implements TableWatch.Listener {
     private final OperatorRows rows;
@@ -18,7 +18,7 @@
     private final DecisionLog log;
     private final Set<String> evacuated = new TreeSet<>();
 
-    /** Creates one that knows no evacuation. */
+    /** Creates a feed without evacuated failure domains. */
     public EvacuationFeed(OperatorRows rows, BackendRegistry registry, DecisionLog log) {
         this.rows = rows;
         this.registry = registry;
--- a/direct/src/main/java/org/streamring/direct/feed/MemberRegister.java
+++ b/direct/src/main/java/org/streamring/direct/feed/MemberRegister.java
@@ -19,22 +19,23 @@
 import org.streamring.kernel.store.StoredRow;
 
 /**
- * Counts the live entries: each writes a row from time to time, and reads whose row still changes.
+ * Determines which entries are live. Each entry writes its row periodically, and considers another entry live as long
+ * as the row of that entry keeps changing.
  *
- * <p>While the store is away the last count stands. An entry that stopped or fell silent keeps its row, as its box may
- * start another at the same address at any time. Confined to the event loop.
+ * <p>During a store outage the last result remains in force. The row of an entry that stopped or became unresponsive is
+ * kept, because its box may start a new entry at the same address at any time. Confined to the event loop.
  */
 public final class MemberRegister {
     private static final String TABLE = "streamring-members";
     private static final String STOPPED = "stopped ";
-    private static final long BASE_MILLIS = 2_000;
-    private static final long MILLIS_PER_ENTRY = 20;
-    private static final int MISSED_BEATS = 3;
+    private static final long BASE_INTERVAL_MILLIS = 2_000;
+    private static final long INTERVAL_MILLIS_PER_ENTRY = 20;
+    private static final int MAX_MISSED_HEARTBEATS = 3;
     /**
-     * Readings of the table in which an entry's row did not change until it is surely gone, about two minutes. Readings
-     * are counted, not time: after an outage of the store all rows are old.
+     * Number of consecutive readings without a change of its row after which an entry is considered gone, about two
+     * minutes. Readings are counted instead of time, because all rows are old after a store outage.
      */
-    private static final int READINGS_UNTIL_GONE = 45;
+    private static final int UNCHANGED_READINGS_UNTIL_GONE = 45;
 
     private final EventLoop loop;
     private final RowStore store;
@@ -43,15 +44,15 @@
     private final String ownAddress;
     private final Consumer<Others> onChange;
     private final LongSupplier clock;
-    private final Map<String, Seen> seen = new HashMap<>();
+    private final Map<String, ObservedRow> observed = new HashMap<>();
     private long ownVersion;
     private int live = 1;
-    private Set<String> mayLive = Set.of();
+    private Set<String> possiblyLive = Set.of();
     private boolean stopping;
 
-    private record Seen(long version, long changedMillis, String value, int readings) {
-        Seen readAgain() {
-            return new Seen(version, changedMillis, value, readings + 1);
+    private record ObservedRow(long version, long changedMillis, String value, int readings) {
+        ObservedRow withUnchangedReading() {
+            return new ObservedRow(version, changedMillis, value, readings + 1);
         }
 
         boolean live(long oldestMillis) {
@@ -62,16 +63,16 @@
     /**
      * Another entry.
      *
-     * @param name its name
-     * @param address where it listens for others
+     * @param name name of the entry
+     * @param address address at which it accepts connections from other entries
      */
     public record Member(String name, InetSocketAddress address) {}
 
     /**
      * The other entries.
      *
-     * @param live those that are alive
-     * @param absent those that stopped or fell silent
+     * @param live entries that are live
+     * @param absent entries that stopped or became unresponsive
      */
     public record Others(List<Member> live, List<Member> absent) {
         /** Copies the lists. */
@@ -82,10 +83,10 @@
     }
 
     /**
-     * Creates one; nothing happens before {@link #start}.
+     * Creates a register; the store is not accessed before {@link #start}.
      *
-     * @param peers where this entry listens for others
-     * @param onChange told the other entries after each reading
+     * @param peers address at which this entry accepts connections from other entries
+     * @param onChange receives the other entries after each reading of the table
      */
     public MemberRegister(
             EventLoop loop,
@@ -104,32 +105,32 @@
         this.clock = clock;
     }
 
-    /** Starts to write and read. */
+    /** Starts to write the row of this entry and to read the table. */
     public void start() {
         refresh();
     }
 
-    /** Entries that are alive, this one included. */
+    /** Returns the number of live entries including this one. */
     public int live() {
         return live;
     }
 
-    /** Names of the entries that may be alive, this one among them; empty before the table was read. */
-    public Set<String> mayLive() {
-        return mayLive;
+    /** Returns the names of the entries that may be live including this one; empty before the table has been read. */
+    public Set<String> possiblyLive() {
+        return possiblyLive;
     }
 
-    private Set<String> namesThatMayLive() {
+    private Set<String> namesOfPossiblyLive() {
         Set<String> names = new HashSet<>(Set.of(ownKey.key()));
-        seen.forEach((name, row) -> {
-            if (row.readings() < READINGS_UNTIL_GONE) {
+        observed.forEach((name, row) -> {
+            if (row.readings() < UNCHANGED_READINGS_UNTIL_GONE) {
                 names.add(name);
             }
         });
         return Set.copyOf(names);
     }
 
-    /** Tells the others that this entry stops. */
+    /** Writes to the row of this entry that it is stopping. */
     public void stop() {
         stopping = true;
         write(STOPPED + ownAddress);
@@ -138,49 +139,49 @@
     private void refresh() {
         store.list(TABLE, "").whenComplete((page, failure) -> {
             if (failure == null) {
-                take(page);
+                handlePage(page);
                 if (!stopping) {
                     write(incarnation + " " + ownAddress);
                 }
             }
-            loop.schedule(this::refresh, interval(), TimeUnit.MILLISECONDS);
+            loop.schedule(this::refresh, intervalMillis(), TimeUnit.MILLISECONDS);
         });
     }
 
-    private long interval() {
-        return BASE_MILLIS + MILLIS_PER_ENTRY * live;
+    private long intervalMillis() {
+        return BASE_INTERVAL_MILLIS + INTERVAL_MILLIS_PER_ENTRY * live;
     }
 
-    private void take(RowPage page) {
+    private void handlePage(RowPage page) {
         long now = clock.getAsLong();
         for (StoredRow row : page.rows()) {
             if (row.key().equals(ownKey)) {
                 ownVersion = row.version();
                 continue;
             }
-            Seen before = seen.get(row.key().key());
+            ObservedRow before = observed.get(row.key().key());
             if (before == null || before.version() != row.version()) {
-                seen.put(row.key().key(), new Seen(row.version(), now, row.value(), 0));
+                observed.put(row.key().key(), new ObservedRow(row.version(), now, row.value(), 0));
             } else {
-                seen.put(row.key().key(), before.readAgain());
+                observed.put(row.key().key(), before.withUnchangedReading());
             }
         }
-        long oldest = now - interval() * MISSED_BEATS;
+        long oldest = now - intervalMillis() * MAX_MISSED_HEARTBEATS;
         Others others = new Others(members(each -> each.live(oldest)), members(each -> !each.live(oldest)));
         live = 1 + others.live().size();
-        mayLive = namesThatMayLive();
+        possiblyLive = namesOfPossiblyLive();
         onChange.accept(others);
     }
 
-    private List<Member> members(Predicate<Seen> which) {
-        return seen.entrySet().stream()
+    private List<Member> members(Predicate<ObservedRow> which) {
+        return observed.entrySet().stream()
                 .filter(each -> which.test(each.getValue()))
-                .flatMap(each ->
-                        addressIn(each.getValue().value()).stream().map(address -> new Member(each.getKey(), address)))
+                .flatMap(each -> parseAddress(each.getValue().value()).stream()
+                        .map(address -> new Member(each.getKey(), address)))
                 .toList();
     }
 
-    private static Optional<InetSocketAddress> addressIn(String value) {
+    private static Optional<InetSocketAddress> parseAddress(String value) {
         int space = value.indexOf(' ');
         int colon = value.lastIndexOf(':');
         if (space < 0 || colon < space) {
--- a/direct/src/main/java/org/streamring/direct/feed/TableWatch.java
+++ b/direct/src/main/java/org/streamring/direct/feed/TableWatch.java
@@ -11,22 +11,26 @@
 import org.streamring.kernel.store.StoredRow;
 
 /**
- * Follows a table: lists it, then waits for changes, and lists it anew when changes were missed.
+ * Watches a table: lists it, then waits for changes, and lists it again if changes were missed.
  *
- * <p>Never goes back: a list older than what is known is asked for again, and a row older than its last version is
- * passed over. Confined to the event loop.
+ * <p>The observed state never goes back: a list older than the last known version is requested again, and a row older
+ * than its last known version is ignored. Confined to the event loop.
  */
 public final class TableWatch {
-    /** With 2 s here the leaving of a replica became known up to 3.2 s late where a call hung, of 2 s left for it. */
+    /**
+     * Longest wait of a call for changes. With 2 s, the shutdown of a replica was noticed up to 3.2 s late if a call
+     * hung, although a replica stops serving 2 s after it is announced.
+     */
     public static final Duration WAIT = Duration.ofMillis(600);
 
     /**
-     * A call that hangs is given up only after 1.8 s, when a replica that left was still sent requests 2,057 ms later;
-     * where an answer is late by this, another connection is asked besides.
+     * Delay after which an overdue call is repeated on another connection while the first one is still pending. A
+     * hanging call times out only after 1.8 s; without the second call, requests were still sent to a replica 2,057 ms
+     * after it began to shut down.
      */
-    private static final long SILENT_MILLIS = 400;
+    private static final long SECOND_CALL_DELAY_MILLIS = 400;
 
-    private static final long RETRY_MILLIS = 200;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final EventLoop loop;
     private final RowStore store;
@@ -35,44 +39,44 @@
     private final Duration wait;
     private final List<Listener> listeners;
     private final Map<String, Long> versions = new HashMap<>();
-    private long known = -1;
+    private long knownVersion = -1;
     private boolean listed;
-    private boolean away;
+    private boolean unreachable;
     private boolean stopped;
 
-    /** How to go on where the store was out of reach for a while. */
+    /** How to continue after the store was unreachable. */
     public enum AfterGap {
-        /** With all changes that were missed: what a row said in between matters. */
+        /** Read all missed changes, for tables whose intermediate row values matter. */
         CHANGES,
         /**
-         * With the table as it stands: only the newest matters, and all that was missed may be large. Thirty-five
-         * configurations of 250 routes, missed in a cut of eight seconds, kept boxes with links of 10 Mbit/s from the
-         * newest one for another 8 to 10 s.
+         * List the current table, for tables where only the newest values matter and the missed changes may be large.
+         * When 35 configurations of 250 routes were missed during a disconnection of 8 s, reading them all delayed the
+         * newest one by another 8 to 10 s on boxes with links of 10 Mbit/s.
          */
         LIST
     }
 
-    /** Hears what the table holds. */
+    /** Receives the content of the table and its changes. */
     public interface Listener {
-        /** The whole table as it stands. */
+        /** Called with all current rows of the table. */
         void listed(List<StoredRow> rows);
 
-        /** A row was written or removed. */
+        /** Called when a row was written or removed. */
         void changed(StoredRow row);
 
-        /** The store can't be reached, since now; for those who keep what they know meanwhile, nothing follows. */
+        /** Called when the store becomes unreachable. Listeners that keep their last state need not override this. */
         default void lost(String reason) {}
 
-        /** The store can be reached again, and what follows is its state since then. */
+        /** Called when the store is reachable again, before its current state is reported. */
         default void regained() {}
     }
 
     /**
-     * Creates one; nothing happens before {@link #start}.
+     * Creates a watch; the store is not accessed before {@link #start}.
      *
-     * @param wait longest wait of a call for changes; the longer, the fewer calls, and the later a change is known
-     *     where a call hangs
-     * @param listeners told in this order
+     * @param wait longest wait of a call for changes; a longer wait needs fewer calls, but a change is noticed later if
+     *     a call hangs
+     * @param listeners listeners, called in this order
      */
     public TableWatch(
             EventLoop loop, RowStore store, String table, AfterGap afterGap, Duration wait, List<Listener> listeners) {
@@ -84,12 +88,12 @@
         this.listeners = List.copyOf(listeners);
     }
 
-    /** Starts to follow. */
+    /** Starts to watch the table. */
     public void start() {
         list();
     }
 
-    /** Ends. */
+    /** Stops watching the table. */
     public void stop() {
         stopped = true;
     }
@@ -101,18 +105,18 @@
         store.list(table, "").whenComplete((page, failure) -> {
             if (failure != null) {
                 failed(failure);
-            } else if (page.version() < known) {
-                later();
+            } else if (page.version() < knownVersion) {
+                scheduleRetry();
             } else {
-                takeList(page);
+                handleList(page);
             }
         });
     }
 
-    private void takeList(RowPage page) {
-        reached();
+    private void handleList(RowPage page) {
+        markReachable();
         listed = true;
-        known = page.version();
+        knownVersion = page.version();
         page.rows().forEach(row -> versions.merge(row.key().key(), row.version(), Math::max));
         listeners.forEach(each -> each.listed(page.rows()));
         watch();
@@ -122,32 +126,32 @@
         if (stopped) {
             return;
         }
-        new Look().begin();
+        new PendingWatch().begin();
     }
 
-    /** One wait for changes; asked by a second call as well where the first is silent. The first end counts. */
-    private final class Look {
-        private boolean over;
+    /** A pending wait for changes. If the first call is overdue, a second one is sent; the first result is used. */
+    private final class PendingWatch {
+        private boolean finished;
 
         private void begin() {
-            ask();
-            loop.schedule(this::askAgain, wait.toMillis() + SILENT_MILLIS, TimeUnit.MILLISECONDS);
+            call();
+            loop.schedule(this::repeatCall, wait.toMillis() + SECOND_CALL_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        private void askAgain() {
-            if (!over && !stopped) {
-                ask();
+        private void repeatCall() {
+            if (!finished && !stopped) {
+                call();
             }
         }
 
-        private void ask() {
-            store.watch(table, known, wait).whenComplete((page, failure) -> {
-                if (over) {
+        private void call() {
+            store.watch(table, knownVersion, wait).whenComplete((page, failure) -> {
+                if (finished) {
                     return;
                 }
-                over = true;
+                finished = true;
                 if (failure == null) {
-                    take(page);
+                    handlePage(page);
                 } else {
                     failed(failure);
                 }
@@ -155,19 +159,19 @@
         }
     }
 
-    private void take(RowPage page) {
+    private void handlePage(RowPage page) {
         if (page.historyLost()) {
-            reached();
+            markReachable();
             listed = false;
             list();
         } else {
-            takeChanges(page);
+            handleChanges(page);
         }
     }
 
-    private void takeChanges(RowPage page) {
-        reached();
-        known = Math.max(known, page.version());
+    private void handleChanges(RowPage page) {
+        markReachable();
+        knownVersion = Math.max(knownVersion, page.version());
         for (StoredRow row : page.rows()) {
             long before = versions.getOrDefault(row.key().key(), -1L);
             if (row.version() > before) {
@@ -182,29 +186,32 @@
         }
     }
 
-    /** Changes come faster than they are read, so that the next answer may hold more of them than this one. */
+    /**
+     * Returns whether the page holds several versions of a row. Changes then arrive faster than they are read, so the
+     * next page may hold even more of them.
+     */
     private static boolean holdsOutdatedRows(List<StoredRow> rows) {
         return rows.stream().map(StoredRow::key).distinct().count() < rows.size();
     }
 
-    private void reached() {
-        if (away) {
-            away = false;
+    private void markReachable() {
+        if (unreachable) {
+            unreachable = false;
             listeners.forEach(Listener::regained);
         }
     }
 
     private void failed(Throwable failure) {
-        if (!away) {
-            away = true;
+        if (!unreachable) {
+            unreachable = true;
             String reason = String.valueOf(failure.getMessage());
             listeners.forEach(each -> each.lost(reason));
         }
-        later();
+        scheduleRetry();
     }
 
-    private void later() {
+    private void scheduleRetry() {
         boolean byChanges = listed && afterGap == AfterGap.CHANGES;
-        loop.schedule(byChanges ? this::watch : this::list, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(byChanges ? this::watch : this::list, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/feed/WatchLog.java
+++ b/direct/src/main/java/org/streamring/direct/feed/WatchLog.java
@@ -4,15 +4,15 @@
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.kernel.store.StoredRow;
 
-/** Logs when a table of the store can't be followed any more, and when it can again. */
+/** Logs when a table can no longer be read from the store, and when it can be read again. */
 public final class WatchLog implements TableWatch.Listener {
     private final String by;
     private final DecisionLog log;
 
     /**
-     * Creates one.
+     * Creates a listener that writes to the given log.
      *
-     * @param by who follows the table
+     * @param by name under which the watch of the table is logged
      */
     public WatchLog(String by, DecisionLog log) {
         this.by = by;
@@ -21,12 +21,12 @@
 
     @Override
     public void listed(List<StoredRow> rows) {
-        // those who use the rows log what they make of them
+        // logged by the listeners that process the rows
     }
 
     @Override
     public void changed(StoredRow row) {
-        // those who use the rows log what they make of them
+        // logged by the listeners that process the rows
     }
 
     @Override
--- a/direct/src/main/java/org/streamring/direct/feed/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/feed/package-info.java
@@ -1,4 +1,4 @@
-/** What the entry learns from the store: configuration, backend servers, other entries. */
+/** Readers of the store tables: configuration, backend servers, evacuations and the other entries. */
 @NullMarked
 package org.streamring.direct.feed;
 
--- a/direct/src/test/java/org/streamring/direct/feed/MemberRegisterTest.java
+++ b/direct/src/test/java/org/streamring/direct/feed/MemberRegisterTest.java
@@ -26,16 +26,17 @@
     private static final InetSocketAddress OWN = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7340);
 
     private DefaultEventLoop loop;
-    private FakeRows rows;
-    private BlockingQueue<MemberRegister.Others> told;
+    private FakeRowStore rows;
+    private BlockingQueue<MemberRegister.Others> received;
     private MemberRegister register;
 
     @BeforeMethod
     public void setUp() {
         loop = new DefaultEventLoop();
-        rows = new FakeRows();
-        told = new LinkedBlockingQueue<>();
-        register = new MemberRegister(loop, rows, "entry-1", "entry-1.a", OWN, System::currentTimeMillis, told::add);
+        rows = new FakeRowStore();
+        received = new LinkedBlockingQueue<>();
+        register =
+                new MemberRegister(loop, rows, "entry-1", "entry-1.a", OWN, System::currentTimeMillis, received::add);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -44,13 +45,13 @@
     }
 
     @Test
-    public void anEntryThatIsStoppingIsAbsentButKeepsItsAddress() throws InterruptedException {
-        rows.has("entry-1", "entry-1.old 127.0.0.1:7340");
-        rows.has("entry-2", "entry-2.a 127.0.0.2:7340");
-        rows.has("entry-3", "stopped 127.0.0.3:7340");
+    public void aStoppedEntryIsAbsentButKeepsItsAddress() throws InterruptedException {
+        rows.addRow("entry-1", "entry-1.old 127.0.0.1:7340");
+        rows.addRow("entry-2", "entry-2.a 127.0.0.2:7340");
+        rows.addRow("entry-3", "stopped 127.0.0.3:7340");
         loop.execute(register::start);
 
-        MemberRegister.Others others = told.poll(5, TimeUnit.SECONDS);
+        MemberRegister.Others others = received.poll(5, TimeUnit.SECONDS);
         assertThat(others.live())
                 .containsExactly(new MemberRegister.Member("entry-2", new InetSocketAddress("127.0.0.2", 7340)));
         assertThat(others.absent())
@@ -59,9 +60,9 @@
     }
 
     @Test
-    public void aStopIsWrittenWithTheAddressOfTheBox() throws InterruptedException {
+    public void theStopOfAnEntryIsWrittenWithItsAddress() throws InterruptedException {
         loop.execute(register::start);
-        told.poll(5, TimeUnit.SECONDS);
+        received.poll(5, TimeUnit.SECONDS);
         loop.execute(register::stop);
 
         assertThat(rows.written.poll(5, TimeUnit.SECONDS)).isEqualTo("entry-1.a 127.0.0.1:7340");
@@ -69,33 +70,33 @@
     }
 
     @Test
-    public void anEntryThatStoppedOrFellSilentMayLiveForAWhile() throws InterruptedException {
-        assertThat(register.mayLive())
-                .as("nothing is known before the table was read")
+    public void aStoppedEntryIsStillPossiblyLiveAfterTheFirstReading() throws InterruptedException {
+        assertThat(register.possiblyLive())
+                .as("no entries before the table was read")
                 .isEmpty();
-        rows.has("entry-2", "entry-2.a 127.0.0.2:7340");
-        rows.has("entry-3", "stopped 127.0.0.3:7340");
+        rows.addRow("entry-2", "entry-2.a 127.0.0.2:7340");
+        rows.addRow("entry-3", "stopped 127.0.0.3:7340");
         loop.execute(register::start);
-        told.poll(5, TimeUnit.SECONDS);
-        assertThat(register.mayLive()).containsExactlyInAnyOrder("entry-1", "entry-2", "entry-3");
+        received.poll(5, TimeUnit.SECONDS);
+        assertThat(register.possiblyLive()).containsExactlyInAnyOrder("entry-1", "entry-2", "entry-3");
     }
 
     @Test
-    public void rowsThatCannotBeReadNameNobody() throws InterruptedException {
-        rows.has("entry-2", "stopped");
-        rows.has("entry-3", "entry-3.a 127.0.0.3:port");
+    public void unreadableRowsAreNotReportedAsEntries() throws InterruptedException {
+        rows.addRow("entry-2", "stopped");
+        rows.addRow("entry-3", "entry-3.a 127.0.0.3:port");
         loop.execute(register::start);
 
-        MemberRegister.Others others = told.poll(5, TimeUnit.SECONDS);
+        MemberRegister.Others others = received.poll(5, TimeUnit.SECONDS);
         assertThat(others.live()).isEmpty();
         assertThat(others.absent()).isEmpty();
     }
 
-    private static final class FakeRows implements RowStore {
+    private static final class FakeRowStore implements RowStore {
         private final List<StoredRow> rows = new ArrayList<>();
         private final BlockingQueue<String> written = new LinkedBlockingQueue<>();
 
-        private void has(String key, String value) {
+        private void addRow(String key, String value) {
             rows.add(new StoredRow(new RowKey("streamring-members", "", key), value, rows.size() + 1L, false));
         }
 
--- a/direct/src/test/java/org/streamring/direct/feed/TableWatchTest.java
+++ b/direct/src/test/java/org/streamring/direct/feed/TableWatchTest.java
@@ -20,22 +20,22 @@
 import org.testng.annotations.Test;
 
 public class TableWatchTest {
-    /** A replica serves for 2 s after it left, of which half a second is left for the way to it. */
-    private static final long KNOWN_WITHIN_MILLIS = 1_500;
+    /** A replica serves for 2 s after it announced its shutdown; 0.5 s of it is reserved for requests on their way. */
+    private static final long MAX_NOTICE_DELAY_MILLIS = 1_500;
 
     private EmbeddedChannel time;
-    private SlowStore store;
-    private Heard heard;
+    private ManualStore store;
+    private RecordingListener listener;
     private TableWatch watch;
 
     @BeforeMethod
     public void setUp() {
         time = new EmbeddedChannel();
         time.freezeTime();
-        store = new SlowStore();
-        heard = new Heard();
+        store = new ManualStore();
+        listener = new RecordingListener();
         watch = new TableWatch(
-                time.eventLoop(), store, "servers", TableWatch.AfterGap.CHANGES, TableWatch.WAIT, List.of(heard));
+                time.eventLoop(), store, "servers", TableWatch.AfterGap.CHANGES, TableWatch.WAIT, List.of(listener));
         watch.start();
         store.lists.get(0).complete(new RowPage(List.of(), 1, 0, false));
     }
@@ -46,47 +46,47 @@
     }
 
     @Test
-    public void aChangeIsKnownInTimeWhereOneCallHangs() {
-        advance(KNOWN_WITHIN_MILLIS);
+    public void aChangeIsNoticedInTimeIfOneCallHangs() {
+        advance(MAX_NOTICE_DELAY_MILLIS);
         assertThat(store.watches).as("calls").hasSize(2);
         store.watches.get(1).complete(change(2));
-        assertThat(heard.changed).containsExactly(2L);
+        assertThat(listener.changed).containsExactly(2L);
     }
 
     @Test
-    public void noSecondCallIsMadeWhereTheFirstIsAnswered() {
+    public void noSecondCallIsSentIfTheFirstIsAnswered() {
         advance(TableWatch.WAIT.toMillis() + 5);
         store.watches.get(0).complete(new RowPage(List.of(), 1, 0, false));
         advance(TableWatch.WAIT.toMillis());
-        assertThat(store.watches).as("the first, and the one after it").hasSize(2);
+        assertThat(store.watches).as("the first call and the one after it").hasSize(2);
     }
 
     @Test
-    public void theAnswerOfTheCallThatHungChangesNothingMore() {
-        advance(KNOWN_WITHIN_MILLIS);
+    public void aLateAnswerToTheFirstCallIsIgnored() {
+        advance(MAX_NOTICE_DELAY_MILLIS);
         store.watches.get(1).complete(change(2));
         store.watches.get(0).complete(change(2));
-        assertThat(heard.changed).containsExactly(2L);
+        assertThat(listener.changed).containsExactly(2L);
         assertThat(store.watches).hasSize(3);
     }
 
     @Test
-    public void aCallThatFailsIsFollowedByAnotherAlsoWhereTheSecondIsStillSilent() {
-        advance(KNOWN_WITHIN_MILLIS);
+    public void aFailedCallIsRetriedEvenIfTheSecondCallIsStillPending() {
+        advance(MAX_NOTICE_DELAY_MILLIS);
         store.watches.get(0).completeExceptionally(new StoreException("watch", "no answer in time", false));
-        assertThat(heard.lost).isEqualTo(1);
+        assertThat(listener.lost).isEqualTo(1);
         advance(250);
         assertThat(store.watches).hasSize(3);
         store.watches.get(2).complete(change(2));
         store.watches.get(1).completeExceptionally(new StoreException("watch", "no answer in time", false));
-        assertThat(heard.changed).containsExactly(2L);
-        assertThat(heard.lost).isEqualTo(1);
+        assertThat(listener.changed).containsExactly(2L);
+        assertThat(listener.lost).isEqualTo(1);
     }
 
     @Test
-    public void noSecondCallIsMadeAfterTheEnd() {
+    public void noSecondCallIsSentAfterTheWatchWasStopped() {
         watch.stop();
-        advance(KNOWN_WITHIN_MILLIS);
+        advance(MAX_NOTICE_DELAY_MILLIS);
         assertThat(store.watches).hasSize(1);
     }
 
@@ -102,7 +102,7 @@
         return new RowPage(List.of(row), version, 0, false);
     }
 
-    private static final class Heard implements TableWatch.Listener {
+    private static final class RecordingListener implements TableWatch.Listener {
         private final List<Long> changed = new ArrayList<>();
         private int lost;
 
@@ -122,8 +122,8 @@
         }
     }
 
-    /** Its calls are answered by the test. */
-    private static final class SlowStore implements RowStore {
+    /** Store whose calls are completed by the test. */
+    private static final class ManualStore implements RowStore {
         private final List<CompletableFuture<RowPage>> lists = new ArrayList<>();
         private final List<CompletableFuture<RowPage>> watches = new ArrayList<>();
 
