--- a/direct/src/main/java/org/streamring/direct/DirectEntry.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntry.java
@@ -64,25 +64,29 @@
 import org.streamring.platform.node.OperatorRows;
 
 /**
- * A running entry that sends requests to backend servers directly.
+ * An entry that sends requests directly to backend servers. Creates, starts and stops all its parts.
  *
- * <p>All its state is confined to one event loop, so there are no locks; only the log has a thread of its own.
+ * <p>All state is confined to one event loop, so no locks are needed. Only the log uses a separate thread.
  */
 final class DirectEntry {
     private static final String DIGEST_PURPOSE = "digests of requests";
     /**
-     * Half a call a second where nothing changes. A change ends the wait at once; where a call hangs, it is known this
-     * and the store's time for a call later, 3.2 s by the constants.
+     * Longest wait of a call for changed suspect rows, which gives 0.5 calls per second while nothing changes. A change
+     * ends the wait at once. If a call hangs, the change is noticed after this wait plus the time that the store allows
+     * for a call, 3.2 s according to the constants.
      */
     private static final Duration SUSPECTS_WAIT = Duration.ofSeconds(2);
 
-    private static final long TIDY_MILLIS = 250;
-    private static final long RELOAD_MILLIS = 5_000;
+    private static final long CLEANUP_INTERVAL_MILLIS = 250;
+    private static final long RELOAD_INTERVAL_MILLIS = 5_000;
     private static final Duration STOP_MARGIN = Duration.ofMillis(500);
-    private static final Duration LEASES_WAITED_FOR = Duration.ofSeconds(4);
-    private static final Duration LAST_CALLS = Duration.ofSeconds(2);
-    /** The balancer asks each second and takes an entry out after two misses. */
-    private static final Duration BALANCER_NOTICES = Duration.ofMillis(2_500);
+    private static final Duration MAX_LEASE_WAIT = Duration.ofSeconds(4);
+    private static final Duration MIN_TIME_FOR_NEW_CALL = Duration.ofSeconds(2);
+    /**
+     * Time within which the load balancer stops sending new connections to this entry. It checks the readiness every
+     * second and removes an entry after two failed checks.
+     */
+    private static final Duration BALANCER_DETECTION_TIME = Duration.ofMillis(2_500);
 
     private final EventLoop loop;
     private final NodePlatform platform;
@@ -99,9 +103,9 @@
     private final TokenLending lending;
     private final UseWitnesses witnesses;
     private final PermitExchange permits;
-    private final AccountHomes homes;
+    private final AccountHomes homeEntries;
     private final Fleet fleet;
-    private final PlacementExchange exchange;
+    private final PlacementExchange placementExchange;
     private final TableWatch configurationWatch;
     private final TableWatch backendWatch;
     private final TableWatch suspectWatch;
@@ -112,8 +116,8 @@
     private final CallerServer callers;
     private final LoopWatch loopWatch;
     private boolean stopping;
-    private boolean ending;
-    private long stopBegan;
+    private boolean rejectingAll;
+    private long stopStartedMillis;
 
     DirectEntry(
             EventLoopGroup loops,
@@ -133,30 +137,31 @@
                 new BackendAvailability(() -> this.settings.drainTime().toMillis(), new NoticeLog(log));
         this.registry = new BackendRegistry(settings.keepLapsed().toMillis(), availability);
         this.configuration = new ConfigurationFeed(platform.operatorRows(), log, () -> {});
-        ColdReplicas cold = new ColdReplicas(settings.nodeName(), this::entriesThatMayLive);
+        ColdReplicas cold = new ColdReplicas(settings.nodeName(), this::possiblyLiveEntries);
         EntryMetrics metrics = new EntryMetrics();
         Random random = new Random();
         PeerIdentity own = new PeerIdentity(PeerIdentity.Role.ENTRY, settings.nodeName(), incarnation);
-        this.homes = new AccountHomes(settings.nodeName());
-        this.peers = new EntryPeers(loops, loop, platform.store(), settings.peers(), own, homes, metrics, log);
+        this.homeEntries = new AccountHomes(settings.nodeName());
+        this.peers = new EntryPeers(loops, loop, platform.store(), settings.peers(), own, homeEntries, metrics, log);
         this.witnesses = new UseWitnesses(peers, settings.nodeName());
-        this.lending = new TokenLending(loop, peers, homes, random, metrics, log);
+        this.lending = new TokenLending(loop, peers, homeEntries, random, metrics, log);
         this.members = new MemberRegister(
                 loop, platform.store(), settings.nodeName(), incarnation, settings.peers(), clock, others -> {
-                    homes.others(others.live().stream()
+                    homeEntries.others(others.live().stream()
                             .map(MemberRegister.Member::name)
                             .toList());
                     peers.members(others);
                 });
-        this.tokens = tokenDesk(new PrepaidBook(incarnation, PrepaidSettings.DEFAULT), homes, random, metrics);
+        this.tokens = createTokenAllocator(
+                new PrepaidBook(incarnation, PrepaidSettings.DEFAULT), homeEntries, random, metrics);
         this.permits = new PermitExchange(
                 loop, peers, settings.nodeName(), this::permitOwners, clock, metrics, log, new LimitLog(log, metrics));
-        this.fleet = fleet(permits.desk(), cold, random);
+        this.fleet = createFleet(permits.desk(), cold, random);
         this.backends = new BackendFeed(platform.operatorRows(), registry, cold, fleet.placement(), clock, log);
         this.link = new LinkPace(() -> this.settings.linkBytesPerSecond());
         ReportPace reportPace = new ReportPace(() -> this.settings.linkBytesPerSecond());
-        this.exchange = new PlacementExchange(
-                loop, peers, fleet.placement(), members::live, this::memoryOf, link, reportPace, clock);
+        this.placementExchange = new PlacementExchange(
+                loop, peers, fleet.placement(), members::live, this::memoryTokensOf, link, reportPace, clock);
         OperatorRows operatorRows = platform.operatorRows();
         this.configurationWatch = watch(
                 operatorRows.configurationTable(),
@@ -167,7 +172,7 @@
                 new EvacuationFeed(operatorRows, registry, log));
         this.backendWatch =
                 watch(operatorRows.backendTable(), "backends", TableWatch.AfterGap.CHANGES, TableWatch.WAIT, backends);
-        this.suspects = new SuspectTable(SuspectLimits.DEFAULT, this::triesHere, new SuspectLog(log));
+        this.suspects = new SuspectTable(SuspectLimits.DEFAULT, this::sendsAfterBlock, new SuspectLog(log));
         this.suspectExchange =
                 new SuspectExchange(loop, platform.store(), peers, settings.nodeName(), suspects, clock, log);
         this.suspectWatch =
@@ -175,18 +180,18 @@
         this.router = new RequestRouter(requestServices(random, metrics));
         this.callers = new CallerServer(loops, settings.callers(), router, this::limits, clock, () -> stopping);
         new ReadinessServer(loops, settings.readiness(), platform.readinessPath(), this::ready);
-        showState(metrics);
+        registerGauges(metrics);
         this.loopWatch = new LoopWatch(loop, clock, new LinkWatch(link, clock, log), metrics, log);
         new AdminServer(loops, settings.metrics(), metrics.registry(), this::ready);
         log.line("started", "incarnation", incarnation, "domain", settings.failureDomain());
     }
 
-    private Fleet fleet(PermitDesk desk, ColdReplicas cold, Random random) {
+    private Fleet createFleet(PermitDesk permitCoordinator, ColdReplicas cold, Random random) {
         return new Fleet(
                 loop,
                 registry,
                 availability,
-                desk,
+                permitCoordinator,
                 cold,
                 random,
                 platform.headers(),
@@ -197,9 +202,13 @@
     }
 
     private TableWatch watch(
-            String table, String by, TableWatch.AfterGap afterGap, Duration wait, TableWatch.Listener... listeners) {
+            String table,
+            String watcher,
+            TableWatch.AfterGap afterGap,
+            Duration wait,
+            TableWatch.Listener... listeners) {
         List<TableWatch.Listener> all = new ArrayList<>(List.of(listeners));
-        all.add(new WatchLog(by, log));
+        all.add(new WatchLog(watcher, log));
         return new TableWatch(loop, platform.store(), table, afterGap, wait, all);
     }
 
@@ -215,20 +224,21 @@
                 fleet,
                 tokens,
                 new SuspectGuard(digests, suspects, suspectExchange, registry, clock, log),
-                this::takes,
+                this::accepts,
                 link,
                 metrics,
                 log);
     }
 
-    private TokenDesk tokenDesk(PrepaidBook book, AccountHomes homes, Random random, EntryMetrics metrics) {
+    private TokenDesk createTokenAllocator(
+            PrepaidBook ledger, AccountHomes homeEntries, Random random, EntryMetrics metrics) {
         return new TokenDesk(
                 loop,
                 platform.store(),
-                book,
+                ledger,
                 settings.nodeName() + "@" + settings.callers().getHostString(),
                 configuration::inForce,
-                homes,
+                homeEntries,
                 members::live,
                 lending,
                 witnesses,
@@ -243,39 +253,45 @@
         return ManagementFactory.getRuntimeMXBean().getUptime();
     }
 
-    /** One entry of the fleet tries a request whose block is over; before the entries are known, none does. */
-    private boolean triesHere(RequestDigest request) {
+    /**
+     * Returns whether this entry is the one in the fleet that sends a request again after its block has expired. No
+     * entry does so before it has read the table of entries.
+     */
+    private boolean sendsAfterBlock(RequestDigest request) {
         return RendezvousHash.order(request.text(), members.possiblyLive()).stream()
                 .findFirst()
                 .filter(settings.nodeName()::equals)
                 .isPresent();
     }
 
-    private Set<String> entriesThatMayLive() {
+    private Set<String> possiblyLiveEntries() {
         return members.possiblyLive();
     }
 
-    /** Entries that all others reach: in a small fleet each that lives, also where the store doesn't tell of it yet. */
+    /**
+     * Returns the entries that all other entries can reach. In a small fleet, these are all live entries, including
+     * connected ones that the store does not list yet.
+     */
     private Set<String> permitOwners() {
         if (members.possiblyLive().isEmpty()) {
             return Set.of();
         }
-        Set<String> owners = new HashSet<>(homes.holders());
+        Set<String> owners = new HashSet<>(homeEntries.holders());
         if (members.live() <= AccountHomes.ALL_CONNECTED) {
             owners.addAll(peers.connectedEntries());
         }
         return owners;
     }
 
-    /** Memory of a replica in tokens; 0 if it is not known. */
-    private long memoryOf(String replica) {
+    /** Returns the memory of a replica in tokens; 0 if it is not known. */
+    private long memoryTokensOf(String replica) {
         return registry.find(replica)
                 .flatMap(instance -> configuration.inForce().map(table -> table.service(instance.service())))
                 .map(ServiceTraits::memoryTokens)
                 .orElse(0L);
     }
 
-    private void showState(EntryMetrics metrics) {
+    private void registerGauges(EntryMetrics metrics) {
         metrics.gauge("requests.running", callers::busy);
         metrics.gauge("link.queued.ms", () -> link.queuedMillis(clock.getAsLong()));
         metrics.gauge("store.away", () -> tokens.storeAway() ? 1 : 0);
@@ -289,7 +305,7 @@
         metrics.gauge("log.lines.dropped", log::dropped);
     }
 
-    /** Starts to read the store; to be called on the event loop. */
+    /** Starts all parts of the entry. Has to be called on the event loop. */
     void start() {
         configurationWatch.start();
         backendWatch.start();
@@ -300,16 +316,18 @@
         witnesses.start();
         permits.start();
         peers.start();
-        exchange.start();
+        placementExchange.start();
         tokens.start();
         loopWatch.start();
-        loop.scheduleAtFixedRate(this::tidy, TIDY_MILLIS, TIDY_MILLIS, TimeUnit.MILLISECONDS);
-        loop.scheduleAtFixedRate(() -> reload("look"), RELOAD_MILLIS, RELOAD_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::cleanUp, CLEANUP_INTERVAL_MILLIS, CLEANUP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> reload("look"), RELOAD_INTERVAL_MILLIS, RELOAD_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Reads the settings anew; those that can't be read leave the old ones in force.
-     * To be called on the event loop.
+     * Reads the settings again. If they cannot be read, the previous settings remain in force. Has to be called on the
+     * event loop.
      */
     void reload(String cause) {
         try {
@@ -328,29 +346,33 @@
         }
     }
 
-    /** Finishes what is in progress; complete when the process may end. To be called on the event loop. */
+    /**
+     * Stops the entry and lets running requests finish within the grace period. Has to be called on the event loop.
+     *
+     * @return future that completes when the process may exit
+     */
     CompletableFuture<Void> stop() {
         stopping = true;
         log.line("stopping", "requests", callers.busy());
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        stopBegan = clock.getAsLong();
+        stopStartedMillis = clock.getAsLong();
         members.stop();
         callers.closeUnused();
-        loop.schedule(tokens::release, BALANCER_NOTICES.toMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(tokens::release, BALANCER_DETECTION_TIME.toMillis(), TimeUnit.MILLISECONDS);
         waitForRequests(stopped);
         return stopped;
     }
 
     private void waitForRequests(CompletableFuture<Void> stopped) {
-        long elapsed = clock.getAsLong() - stopBegan;
-        ending |= router.runningStreams() == 0 && elapsed >= BALANCER_NOTICES.toMillis();
-        boolean quiet = ending && callers.busy() == 0;
-        boolean late = elapsed >= settings.grace().minus(STOP_MARGIN).toMillis();
-        if (!quiet && !late) {
+        long elapsed = clock.getAsLong() - stopStartedMillis;
+        rejectingAll |= router.runningStreams() == 0 && elapsed >= BALANCER_DETECTION_TIME.toMillis();
+        boolean allFinished = rejectingAll && callers.busy() == 0;
+        boolean timedOut = elapsed >= settings.grace().minus(STOP_MARGIN).toMillis();
+        if (!allFinished && !timedOut) {
             loop.schedule(() -> waitForRequests(stopped), 50, TimeUnit.MILLISECONDS);
             return;
         }
-        ending = true;
+        rejectingAll = true;
         callers.closeUnused();
         log.line("stopped", "requests", callers.busy(), "ms", elapsed);
         CompletableFuture<Void> returned = tokens.close();
@@ -358,21 +380,26 @@
         loop.schedule(() -> stopped.complete(null), 400, TimeUnit.MILLISECONDS);
     }
 
-    /** A request that begins late in a planned stop could not end in time. */
-    private boolean takes(Route route) {
+    /** Returns whether a new request is accepted. A stopping entry rejects requests that could not finish in time. */
+    private boolean accepts(Route route) {
         if (!stopping) {
             return true;
         }
-        long elapsed = clock.getAsLong() - stopBegan;
-        long longest = settings.grace().minus(STOP_MARGIN).toMillis() - elapsed;
-        boolean soonEnough = route.stream() ? elapsed < BALANCER_NOTICES.toMillis() : longest > LAST_CALLS.toMillis();
-        return soonEnough && !ending;
+        long elapsed = clock.getAsLong() - stopStartedMillis;
+        long remaining = settings.grace().minus(STOP_MARGIN).toMillis() - elapsed;
+        boolean canFinishInTime = route.stream()
+                ? elapsed < BALANCER_DETECTION_TIME.toMillis()
+                : remaining > MIN_TIME_FOR_NEW_CALL.toMillis();
+        return canFinishInTime && !rejectingAll;
     }
 
-    /** Leases are waited for a while only: without them what needs none is served. */
+    /**
+     * Returns whether the entry accepts requests. The wait for leases is limited, because requests that need no lease
+     * can be served without them.
+     */
     private boolean ready() {
-        boolean leased = tokens.renewedOnce() || clock.getAsLong() > LEASES_WAITED_FOR.toMillis();
-        return !stopping && leased && configuration.inForce().isPresent() && backends.loaded();
+        boolean leasesReady = tokens.renewedOnce() || clock.getAsLong() > MAX_LEASE_WAIT.toMillis();
+        return !stopping && leasesReady && configuration.inForce().isPresent() && backends.loaded();
     }
 
     private CallerLimits limits() {
@@ -383,7 +410,7 @@
                 .orElse(CallerLimits.DEFAULT);
     }
 
-    private void tidy() {
+    private void cleanUp() {
         registry.expire(clock.getAsLong()).forEach(id -> log.line("backend_lapsed", "backend", id));
         fleet.tidy();
         callers.closeIdle();
--- a/direct/src/main/java/org/streamring/direct/DirectEntryMain.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntryMain.java
@@ -17,13 +17,16 @@
 import org.streamring.platform.node.NodePlatformProvider;
 import org.streamring.platform.node.NodeSettings;
 
-/** Runs an entry that sends requests to backend servers directly, on the platform that is on the class path. */
+/** Main class of an entry that sends requests directly to backend servers, on the platform found on the class path. */
 public final class DirectEntryMain {
-    private static final int WRONG_SETTINGS = 2;
+    private static final int EXIT_CODE_INVALID_SETTINGS = 2;
 
     private DirectEntryMain() {}
 
-    /** Runs the program until it is asked to stop. A hang-up must never end it, so it is listened for first. */
+    /**
+     * Runs the entry until the process receives a stop signal. The SIGHUP handler is installed first, because SIGHUP
+     * must never end the process.
+     */
     public static void main(String[] arguments) throws PeerException, InterruptedException {
         AtomicReference<Runnable> onHangUp = new AtomicReference<>(() -> {});
         HangUpSignal.listen(() -> onHangUp.get().run());
@@ -38,7 +41,7 @@
             settings = platform.readSettings();
         } catch (SettingsException e) {
             System.err.println(e.getMessage());
-            System.exit(WRONG_SETTINGS);
+            System.exit(EXIT_CODE_INVALID_SETTINGS);
             return;
         }
         DecisionLog log = new DecisionLog(System.out, settings.nodeName());
@@ -58,7 +61,7 @@
         try {
             stopped.get(settings.grace().toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            System.err.println("stop: not finished in time: " + e);
+            System.err.println("shutdown did not complete in time: " + e);
         }
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ReadinessServer.java
+++ b/direct/src/main/java/org/streamring/direct/ReadinessServer.java
@@ -18,7 +18,7 @@
 import org.streamring.net.peer.PeerException;
 import org.streamring.net.process.Listening;
 
-/** Answers the balancer's question whether the process takes new connections. */
+/** HTTP server for the readiness check of the load balancer: whether the process accepts new connections. */
 final class ReadinessServer {
     private static final int MAX_BODY_BYTES = 1_024;
 
--- a/direct/src/main/java/org/streamring/direct/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/package-info.java
@@ -1,4 +1,4 @@
-/** The program that serves callers and sends their requests to backend servers directly, without sidecars. */
+/** Entry process that accepts requests of callers and sends them directly to backend servers, without sidecars. */
 @NullMarked
 package org.streamring.direct;
 
--- a/direct/src/test/java/org/streamring/direct/TestHeaders.java
+++ b/direct/src/test/java/org/streamring/direct/TestHeaders.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 import org.streamring.platform.node.ForwardingHeaders;
 
-/** Names of headers for tests; no platform uses them. */
+/** Header names for tests, used by no platform. */
 public final class TestHeaders {
-    /** One name for each. */
+    /** A distinct name for each header. */
     public static final ForwardingHeaders NAMES = new ForwardingHeaders(
             "id",
             "deadline",
