--- a/direct/src/main/java/org/streamring/direct/ledger/LeaseReader.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/LeaseReader.java
@@ -10,14 +10,14 @@
 import org.streamring.kernel.store.RowStore;
 
 /**
- * Reads all rows of leases at the start, and again when a write had no answer. Confined to the event loop.
+ * Reads all lease rows from the store at startup, and again after a write got no answer. Confined to the event loop.
  */
 final class LeaseReader {
     /**
-     * A read that hangs does not hold up the next one. The store's return is noticed within 0.65 s in tests with
-     * processes; with one read at a time up to 1.6 s may pass, as a call is given up after 1.2 s.
+     * Reads overlap, so that one that hangs does not delay the next. A recovered store is detected within 0.65 s in
+     * tests with processes; with one read at a time it takes up to 1.6 s, because a call times out after 1.2 s.
      */
-    private static final long READ_AGAIN_MILLIS = 300;
+    private static final long READ_INTERVAL_MILLIS = 300;
 
     private final EventLoop loop;
     private final RowStore store;
@@ -25,32 +25,34 @@
     private final LongSupplier clock;
     private final Listener listener;
     private @Nullable Future<?> nextRead;
-    private boolean listed;
+    private boolean rowsLoaded;
     private boolean stopped;
-    /** Reads that were sent before the last write failed tell nothing of what became of it. */
+    /**
+     * Number of failed writes. A read that was sent before the last failure may not include the effect of that write.
+     */
     private int failedWrites;
 
-    /** Hears of reads. */
+    /** Receives the results of reads. */
     interface Listener {
         /**
-         * The store answered a read, which may be too old to be taken.
+         * Called for each answer to a read, also for one that is too old to be used.
          *
-         * @param storeMillis the store's clock at its answer
-         * @param sentMillis when the read was sent, on this process's clock
+         * @param storeMillis time of the store's clock when it answered
+         * @param sentMillis time at which the read was sent, on this process's clock
          */
         void readAnswered(long storeMillis, long sentMillis);
 
-        /** The rows are as the store holds them. */
+        /** Called when all rows have been read and are up to date. */
         void rowsRead(long storeMillis);
 
-        /** A read failed while the rows are not known. */
+        /** Called when a read fails while the rows are not up to date. */
         void readFailed(Throwable failure);
     }
 
     /**
-     * Creates one; nothing is read before {@link #read}.
+     * Creates a reader; nothing is read before {@link #read}.
      *
-     * @param clock milliseconds since this process began, on a steady clock
+     * @param clock milliseconds since this process started, on a monotonic clock
      */
     LeaseReader(EventLoop loop, RowStore store, LeaseRows rows, LongSupplier clock, Listener listener) {
         this.loop = loop;
@@ -60,57 +62,57 @@
         this.listener = listener;
     }
 
-    /** Whether the rows are known. */
-    boolean listed() {
-        return listed;
+    /** Returns whether the rows have been read since the start and since the last failed write. */
+    boolean rowsLoaded() {
+        return rowsLoaded;
     }
 
-    /** Reads no more. */
+    /** Stops reading. */
     void stop() {
         stopped = true;
     }
 
-    /** Reads anew a little later, as nobody knows what became of a write. */
+    /** Schedules another read, because it is unknown whether a write took effect. */
     void readAgainLater() {
         if (!stopped) {
-            listed = false;
+            rowsLoaded = false;
             failedWrites++;
-            loop.schedule(this::read, READ_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::read, READ_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Reads until the rows are known. */
+    /** Reads the rows, and repeats until a read succeeds. */
     void read() {
         if (nextRead != null) {
             nextRead.cancel(false);
         }
-        if (listed || stopped) {
+        if (rowsLoaded || stopped) {
             return;
         }
-        nextRead = loop.schedule(this::read, READ_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+        nextRead = loop.schedule(this::read, READ_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         int failedBefore = failedWrites;
         long sentMillis = clock.getAsLong();
         CompletableFuture<RowPage> accounts = store.list(LeaseRows.ACCOUNTS, "");
-        CompletableFuture<RowPage> marks = store.list(LeaseRows.MARKS, "");
-        accounts.thenCombine(marks, (first, second) -> {
-                    take(first, second, sentMillis, failedBefore);
+        CompletableFuture<RowPage> usageCaps = store.list(LeaseRows.USAGE_CAPS, "");
+        accounts.thenCombine(usageCaps, (first, second) -> {
+                    applyPages(first, second, sentMillis, failedBefore);
                     return second;
                 })
                 .whenComplete((page, failure) -> {
-                    if (failure != null && !listed) {
+                    if (failure != null && !rowsLoaded) {
                         listener.readFailed(failure);
                     }
                 });
     }
 
-    private void take(RowPage accounts, RowPage marks, long sentMillis, int failedBefore) {
-        listener.readAnswered(marks.storeMillis(), sentMillis);
-        if (listed || failedBefore != failedWrites) {
+    private void applyPages(RowPage accounts, RowPage usageCaps, long sentMillis, int failedBefore) {
+        listener.readAnswered(usageCaps.storeMillis(), sentMillis);
+        if (rowsLoaded || failedBefore != failedWrites) {
             return;
         }
-        rows.takeAll(accounts.rows());
-        rows.takeAll(marks.rows());
-        listed = true;
-        listener.rowsRead(marks.storeMillis());
+        rows.cacheRows(accounts.rows());
+        rows.cacheRows(usageCaps.rows());
+        rowsLoaded = true;
+        listener.rowsRead(usageCaps.storeMillis());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
@@ -33,20 +33,20 @@
 import org.streamring.model.route.PrepaidAccount;
 
 /**
- * Keeps the leases of prepaid tokens in the store: all accounts of this entry in one transaction at a time, each
- * with this box's marks. Confined to the event loop.
+ * Writes the leases of prepaid tokens to the store. One transaction at a time covers all accounts of this entry and the
+ * usage caps of this box. Confined to the event loop.
  */
 final class LeaseRenewer implements LeaseReader.Listener {
-    private static final long URGENT_MILLIS = 5;
-    private static final long WATCH_MILLIS = 50;
-    private static final long STORE_SILENT_MILLIS = 700;
+    private static final long URGENT_DELAY_MILLIS = 5;
+    private static final long WATCH_INTERVAL_MILLIS = 50;
+    private static final long WRITE_TIMEOUT_MILLIS = 700;
     private static final long CLOSE_RETRY_MILLIS = 10;
 
-    private static final int MAX_CHANGES = 90;
+    private static final int MAX_ACCOUNTS_PER_WRITE = 90;
 
     private final EventLoop loop;
     private final RowStore store;
-    private final PrepaidBook book;
+    private final PrepaidBook ledger;
     private final LeaseRows rows;
     private final Supplier<Optional<RouteTable>> routes;
     private final AccountHomes homes;
@@ -58,43 +58,43 @@
     private final Listener listener;
     private final LeaseReader reader;
     private final ConflictBackoff backoff;
-    private final SettlementTurns turns;
+    private final SettlementSchedule settlementSchedule;
     private boolean writing;
-    /** A request came during the write in progress, which was planned without it. */
-    private boolean againSoon;
+    /** Whether a renewal was requested during the write in progress, which does not include it. */
+    private boolean renewAgainSoon;
 
     private @Nullable Future<?> nextTick;
     private long nextTickMillis;
     private boolean stopping;
-    private boolean away;
+    private boolean storeUnreachable;
     private boolean renewedOnce;
-    /** What the write in progress takes back of a predecessor's leases. */
-    private TakenBack takenBack = TakenBack.NOTHING;
+    /** Leases of a predecessor that the write in progress reclaims. */
+    private ReclaimedLeases reclaimed = ReclaimedLeases.NOTHING;
 
     private long writeSentMillis;
     private final DurableRise rise = new DurableRise();
     private long anchorStoreMillis;
     private long anchorLocalMillis;
 
-    /** Hears what the store decided. */
+    /** Receives the results of writes. */
     interface Listener {
-        /** Leases or rows have changed. */
+        /** Called when leases or rows have changed. */
         void renewed();
 
-        /** The store does not answer. */
+        /** Called when the store stops answering. */
         void storeLost();
     }
 
     /**
-     * Creates one; nothing happens before {@link #start}.
+     * Creates a renewer; nothing is read or written before {@link #start}.
      *
-     * @param clock milliseconds since this process began, on a steady clock
-     * @param processAge milliseconds since the runtime of this process began to start
+     * @param clock milliseconds since this process started, on a monotonic clock
+     * @param processAge milliseconds since the JVM of this process began to start
      */
     LeaseRenewer(
             EventLoop loop,
             RowStore store,
-            PrepaidBook book,
+            PrepaidBook ledger,
             LeaseRows rows,
             Supplier<Optional<RouteTable>> routes,
             AccountHomes homes,
@@ -107,59 +107,61 @@
             Listener listener) {
         this.loop = loop;
         this.store = store;
-        this.book = book;
+        this.ledger = ledger;
         this.rows = rows;
         this.routes = routes;
         this.homes = homes;
         this.entries = entries;
         this.witnesses = witnesses;
-        this.predecessor = new PredecessorLeases(book, witnesses, clock, processAge, log);
+        this.predecessor = new PredecessorLeases(ledger, witnesses, clock, processAge, log);
         this.clock = clock;
         this.log = log;
         this.listener = listener;
         this.reader = new LeaseReader(loop, store, rows, clock, this);
         this.backoff = new ConflictBackoff(random);
-        this.turns = new SettlementTurns(random);
+        this.settlementSchedule = new SettlementSchedule(random);
     }
 
     void start() {
         reader.read();
-        loop.scheduleAtFixedRate(this::watchStore, WATCH_MILLIS, WATCH_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::watchStore, WATCH_INTERVAL_MILLIS, WATCH_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether leases were written once since the start. */
+    /** Returns whether at least one write of leases was committed since the start. */
     boolean renewedOnce() {
         return renewedOnce;
     }
 
-    /** Whether the store does not answer at the moment. */
-    boolean away() {
-        return away;
+    /** Returns whether the store is currently not answering. */
+    boolean storeUnreachable() {
+        return storeUnreachable;
     }
 
-    /** Milliseconds until tokens beyond the marks may be used if the store stays silent. */
-    long patienceLeftMillis() {
-        return Math.max(0, book.settings().patience().toMillis() - silentMillis());
+    /** Returns the milliseconds until tokens above the usage caps may be used if the store remains unreachable. */
+    long silenceTimeoutLeftMillis() {
+        return Math.max(0, ledger.settings().patience().toMillis() - millisSinceConfirmedWrite());
     }
 
-    /** Time for which the marks have been rising. */
-    private long silentMillis() {
+    /** Returns the milliseconds for which the usage caps have been rising since the last confirmed write. */
+    private long millisSinceConfirmedWrite() {
         return clock.getAsLong() - rise.usable().localMillis();
     }
 
-    /** Writes as soon as possible, also where a later write is planned already. */
+    /** Schedules a write as soon as possible, ahead of a later one that is already scheduled. */
     void renewSoon() {
-        againSoon |= writing;
-        schedule(URGENT_MILLIS);
+        renewAgainSoon |= writing;
+        schedule(URGENT_DELAY_MILLIS);
     }
 
-    /** Gives back, from now on, what no request uses or waits for. */
+    /** Stops taking tokens, and from now on returns those that no request uses or waits for. */
     void release() {
-        book.stopTaking();
+        ledger.stopTaking();
         renewSoon();
     }
 
-    /** Gives back all that is not spent; complete when the store said so or did not answer. */
+    /**
+     * Returns all unspent tokens to the store. The future completes when the store has confirmed it or did not answer.
+     */
     CompletableFuture<Void> close() {
         stopping = true;
         reader.stop();
@@ -176,12 +178,12 @@
             loop.schedule(() -> closeWhenIdle(closed), CLOSE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        List<PrepaidBook.Proposal> proposals = book.accounts().stream()
+        List<PrepaidBook.Proposal> proposals = ledger.accounts().stream()
                 .filter(account ->
-                        rows.account(account).holding(book.incarnation()).isPresent())
-                .map(account -> book.planClose(account, rows.account(account)))
+                        rows.account(account).holding(ledger.incarnation()).isPresent())
+                .map(account -> ledger.planClose(account, rows.account(account)))
                 .toList();
-        if (proposals.isEmpty() || !reader.listed()) {
+        if (proposals.isEmpty() || !reader.rowsLoaded()) {
             closed.complete(null);
             return;
         }
@@ -201,13 +203,13 @@
 
     @Override
     public void rowsRead(long storeMillis) {
-        answered(storeMillis);
+        storeAnswered(storeMillis);
         renewSoon();
     }
 
     @Override
     public void readFailed(Throwable failure) {
-        noAnswer(failure);
+        storeFailed(failure);
     }
 
     private void renewLater() {
@@ -231,16 +233,16 @@
         if (writing || stopping) {
             return;
         }
-        if (!reader.listed()) {
+        if (!reader.rowsLoaded()) {
             renewLater();
             return;
         }
         if (!renewedOnce) {
-            predecessor.marksRead(rows.marks());
+            predecessor.usageCapsRead(rows.usageCaps());
             predecessor.logOnce();
         }
         predecessor.askWitnesses();
-        book.sample(clock.getAsLong());
+        ledger.sample(clock.getAsLong());
         List<PrepaidBook.Proposal> proposals = plan();
         if (proposals.isEmpty()) {
             renewLater();
@@ -250,18 +252,19 @@
     }
 
     private List<PrepaidBook.Proposal> plan() {
-        takenBack = TakenBack.NOTHING;
+        reclaimed = ReclaimedLeases.NOTHING;
         List<PrepaidBook.Proposal> proposals = new ArrayList<>();
         Optional<RouteTable> table = routes.get();
         if (table.isEmpty()) {
             return proposals;
         }
-        int othersToSettle = homes.allAreHomes() ? Integer.MAX_VALUE : turns.accounts(clock.getAsLong());
+        int maxAccountsOfOthers =
+                homes.allAreHomes() ? Integer.MAX_VALUE : settlementSchedule.maxAccounts(clock.getAsLong());
         for (PrepaidAccount account : table.get().configuration().accounts()) {
-            if (account.prepaid().isPresent() && proposals.size() < MAX_CHANGES) {
+            if (account.prepaid().isPresent() && proposals.size() < MAX_ACCOUNTS_PER_WRITE) {
                 PrepaidRow row = rows.account(account.name())
                         .withLimit(account.prepaid().getAsLong(), table.get().version());
-                boolean settles = homes.isHome(account.name()) || takenBack.accounts() < othersToSettle;
+                boolean settles = homes.isHome(account.name()) || reclaimed.accounts() < maxAccountsOfOthers;
                 proposals.add(plan(account.name(), row, settles));
             }
         }
@@ -269,44 +272,45 @@
     }
 
     private PrepaidBook.Proposal plan(String account, PrepaidRow row, boolean settles) {
-        PrepaidRow own = settles ? predecessor.without(account, row) : row;
-        if (!own.equals(row)) {
-            takenBack = takenBack.plus(row, own);
+        PrepaidRow rowToWrite = settles ? predecessor.removeFrom(account, row) : row;
+        if (!rowToWrite.equals(row)) {
+            reclaimed = reclaimed.plus(row, rowToWrite);
         }
         PrepaidBook.Proposal proposal = homes.isHome(account)
-                ? book.plan(account, own, homes.of(account).size(), homes.shape())
-                : book.planBorrower(account, own);
-        return own.equals(row) ? proposal : proposal.orElseWrite(own);
+                ? ledger.plan(account, rowToWrite, homes.of(account).size(), homes.shape())
+                : ledger.planBorrower(account, rowToWrite);
+        return rowToWrite.equals(row) ? proposal : proposal.orElseWrite(rowToWrite);
     }
 
     private CompletableFuture<Boolean> write(List<PrepaidBook.Proposal> proposals) {
         Map<String, PrepaidRow> changed = new HashMap<>();
-        Map<String, Mark> marks = new HashMap<>();
+        Map<String, Mark> usageCaps = new HashMap<>();
         for (PrepaidBook.Proposal proposal : proposals) {
             proposal.row().ifPresent(row -> changed.put(proposal.account(), row));
-            marks.put(proposal.account(), proposal.mark());
+            usageCaps.put(proposal.account(), proposal.mark());
         }
-        Set<String> named = witnesses.choose(book.witnesses().usable());
-        proposals.forEach(book::proposed);
-        book.witnesses().proposed(named);
+        Set<String> witnessIds = witnesses.choose(ledger.witnesses().usable());
+        proposals.forEach(ledger::proposed);
+        ledger.witnesses().proposed(witnessIds);
         long releaseMillis = homes.shape().release().toMillis();
-        book.release().proposed(releaseMillis);
+        ledger.release().proposed(releaseMillis);
         long sentMillis = clock.getAsLong();
         RiseStart start = rise.proposed(new RiseStart(sentMillis, anchorStoreMillis + sentMillis - anchorLocalMillis));
-        sayHowLongSilent();
-        MarkRow marksRow = new MarkRow(book.incarnation(), start.storeMillis(), marks, named, releaseMillis);
-        return commit(changed, marksRow).whenComplete((committed, failure) -> {
+        updateStoreSilence();
+        MarkRow usageCapRow =
+                new MarkRow(ledger.incarnation(), start.storeMillis(), usageCaps, witnessIds, releaseMillis);
+        return commit(changed, usageCapRow).whenComplete((committed, failure) -> {
             if (failure != null) {
                 boolean nothingDone = failure instanceof StoreException store && store.nothingDone();
                 notConfirmed(proposals, nothingDone);
             } else {
                 if (committed) {
-                    proposals.forEach(book::confirmed);
-                    book.witnesses().confirmed(named);
-                    book.release().confirmed(releaseMillis);
+                    proposals.forEach(ledger::confirmed);
+                    ledger.witnesses().confirmed(witnessIds);
+                    ledger.release().confirmed(releaseMillis);
                     rise.confirmed();
-                    sayHowLongSilent();
-                    predecessor.tookBack(takenBack);
+                    updateStoreSilence();
+                    predecessor.logReclaimed(reclaimed);
                 } else {
                     notConfirmed(proposals, true);
                 }
@@ -319,22 +323,22 @@
 
     private void notConfirmed(List<PrepaidBook.Proposal> proposals, boolean nothingDone) {
         if (nothingDone) {
-            proposals.forEach(book::refused);
-            book.witnesses().refused();
-            book.release().refused();
+            proposals.forEach(ledger::refused);
+            ledger.witnesses().refused();
+            ledger.release().refused();
             rise.refused();
         } else {
-            proposals.forEach(book::unanswered);
-            book.witnesses().unanswered();
-            book.release().unanswered();
+            proposals.forEach(ledger::unanswered);
+            ledger.witnesses().unanswered();
+            ledger.release().unanswered();
             rise.unanswered();
         }
     }
 
     private void scheduleNext(boolean committed) {
-        if (committed && againSoon) {
+        if (committed && renewAgainSoon) {
             backoff.committed();
-            schedule(URGENT_MILLIS);
+            schedule(URGENT_DELAY_MILLIS);
         } else if (committed) {
             backoff.committed();
             renewLater();
@@ -343,35 +347,35 @@
         }
     }
 
-    private CompletableFuture<Boolean> commit(Map<String, PrepaidRow> changed, MarkRow marks) {
+    private CompletableFuture<Boolean> commit(Map<String, PrepaidRow> changed, MarkRow usageCaps) {
         writing = true;
-        againSoon = false;
+        renewAgainSoon = false;
         writeSentMillis = clock.getAsLong();
         List<RowChange> changes = new ArrayList<>();
         changed.forEach((account, row) -> changes.add(rows.accountChange(account, row)));
-        changes.add(rows.marksChange(marks));
+        changes.add(rows.usageCapsChange(usageCaps));
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         store.commit(changes).whenComplete((answer, failure) -> {
             writing = false;
             if (failure != null) {
                 result.completeExceptionally(failure);
-                noAnswer(failure);
+                storeFailed(failure);
                 reader.readAgainLater();
                 return;
             }
-            answered(answer.storeMillis());
-            take(answer, changed, marks);
+            storeAnswered(answer.storeMillis());
+            applyResult(answer, changed, usageCaps);
             result.complete(answer.committed());
         });
         return result;
     }
 
-    private void take(CommitResult answer, Map<String, PrepaidRow> changed, MarkRow marks) {
+    private void applyResult(CommitResult answer, Map<String, PrepaidRow> changed, MarkRow usageCaps) {
         if (answer.committed()) {
-            rows.written(changed, marks, answer.version());
+            rows.cacheWritten(changed, usageCaps, answer.version());
         } else {
             logConflict(rows.outdated(answer.current()), changed.size());
-            rows.takeAll(answer.current());
+            rows.cacheRows(answer.current());
         }
     }
 
@@ -383,21 +387,21 @@
                 "rows_in_write",
                 rowsInWrite,
                 "unconfirmed_ms",
-                silentMillis());
+                millisSinceConfirmedWrite());
     }
 
-    private void answered(long storeMillis) {
+    private void storeAnswered(long storeMillis) {
         anchorStoreMillis = storeMillis;
         anchorLocalMillis = clock.getAsLong();
-        if (away) {
-            away = false;
+        if (storeUnreachable) {
+            storeUnreachable = false;
             log.line("store_regained", "by", "ledger");
         }
     }
 
-    private void noAnswer(Throwable failure) {
-        if (!away) {
-            away = true;
+    private void storeFailed(Throwable failure) {
+        if (!storeUnreachable) {
+            storeUnreachable = true;
             log.line("store_lost", "by", "ledger", "reason", String.valueOf(failure.getMessage()));
             listener.storeLost();
         }
@@ -405,17 +409,17 @@
 
     private void watchStore() {
         long now = clock.getAsLong();
-        if (writing && now - writeSentMillis > STORE_SILENT_MILLIS) {
-            noAnswer(new StoreException("renew leases", "no answer for long", false));
+        if (writing && now - writeSentMillis > WRITE_TIMEOUT_MILLIS) {
+            storeFailed(new StoreException("renew leases", "no answer within 700 ms", false));
         }
         if (renewedOnce) {
-            sayHowLongSilent();
+            updateStoreSilence();
         }
     }
 
-    private void sayHowLongSilent() {
+    private void updateStoreSilence() {
         long now = clock.getAsLong();
-        book.storeSilentFor(
+        ledger.storeSilentFor(
                 now - rise.usable().localMillis(), now - rise.inForce().localMillis());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/LeaseRows.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/LeaseRows.java
@@ -12,95 +12,95 @@
 import org.streamring.kernel.store.RowKey;
 import org.streamring.kernel.store.StoredRow;
 
-/** The rows of leases as last read or written, and their form in the store. Confined to the event loop. */
+/** Cache of the lease rows as last read from or written to the store. Confined to the event loop. */
 final class LeaseRows {
     static final String ACCOUNTS = "streamring-prepaid";
-    static final String MARKS = "streamring-marks";
+    static final String USAGE_CAPS = "streamring-marks";
 
     private final DecisionLog log;
-    private final RowKey ownMarks;
-    private final Map<String, Known> accounts = new HashMap<>();
-    private Optional<MarkRow> predecessor = Optional.empty();
-    private long marksVersion;
+    private final RowKey ownUsageCapsKey;
+    private final Map<String, CachedRow> accounts = new HashMap<>();
+    private Optional<MarkRow> ownUsageCaps = Optional.empty();
+    private long usageCapsVersion;
 
-    private record Known(PrepaidRow row, long version) {}
+    private record CachedRow(PrepaidRow row, long version) {}
 
     /**
      * Creates an empty cache.
      *
-     * @param box name and address of this box; no two live processes share one
+     * @param box name and address of this box, unique among live processes
      */
     LeaseRows(DecisionLog log, String box) {
         this.log = log;
-        this.ownMarks = new RowKey(MARKS, "", box);
+        this.ownUsageCapsKey = new RowKey(USAGE_CAPS, "", box);
     }
 
-    /** Takes a row that was read; rows of other boxes' marks are passed over. */
-    void take(StoredRow row) {
+    /** Caches a row that was read. Ignores usage caps of other boxes. */
+    void cacheRow(StoredRow row) {
         if (row.key().table().equals(ACCOUNTS)) {
-            takeAccount(row);
-        } else if (row.key().equals(ownMarks)) {
-            marksVersion = row.version();
-            predecessor = PrepaidRowCodec.readMarks(row.value());
+            cacheAccount(row);
+        } else if (row.key().equals(ownUsageCapsKey)) {
+            usageCapsVersion = row.version();
+            ownUsageCaps = PrepaidRowCodec.readUsageCaps(row.value());
         }
     }
 
-    private void takeAccount(StoredRow row) {
+    private void cacheAccount(StoredRow row) {
         Optional<PrepaidRow> read = PrepaidRowCodec.read(row.value());
         if (read.isPresent()) {
-            accounts.put(row.key().key(), new Known(read.get(), row.version()));
+            accounts.put(row.key().key(), new CachedRow(read.get(), row.version()));
         } else {
             log.line("row_unreadable", "key", row.key().key(), "version", row.version());
         }
     }
 
-    /** An account's row; an empty one if there is none. */
+    /** Returns the row of an account, or an empty row if there is none. */
     PrepaidRow account(String name) {
-        return known(name).row();
+        return cached(name).row();
     }
 
-    /** Accounts that have rows. */
+    /** Returns the accounts that have rows. */
     List<String> accounts() {
         return List.copyOf(accounts.keySet());
     }
 
-    /** Marks that stand in this box's row. */
-    Optional<MarkRow> marks() {
-        return predecessor;
+    /** Returns the usage caps in the row of this box. */
+    Optional<MarkRow> usageCaps() {
+        return ownUsageCaps;
     }
 
-    /** A change of an account's row, on condition that it is as known. */
+    /** Returns a change of an account's row that is conditional on the cached version. */
     RowChange accountChange(String name, PrepaidRow changed) {
-        return new RowChange(new RowKey(ACCOUNTS, "", name), known(name).version(), PrepaidRowCodec.write(changed));
+        return new RowChange(new RowKey(ACCOUNTS, "", name), cached(name).version(), PrepaidRowCodec.write(changed));
     }
 
-    /** A change of this box's marks, on condition that they are as known. */
-    RowChange marksChange(MarkRow marks) {
-        return new RowChange(ownMarks, marksVersion, PrepaidRowCodec.writeMarks(marks));
+    /** Returns a change of this box's usage caps that is conditional on the cached version. */
+    RowChange usageCapsChange(MarkRow usageCaps) {
+        return new RowChange(ownUsageCapsKey, usageCapsVersion, PrepaidRowCodec.writeUsageCaps(usageCaps));
     }
 
-    /** Accounts whose rows are not as known, among rows that were just read. */
+    /** Returns the accounts whose version in the given rows differs from the cached one. */
     List<String> outdated(List<StoredRow> current) {
         return current.stream()
                 .filter(row -> row.key().table().equals(ACCOUNTS))
-                .filter(row -> row.version() != known(row.key().key()).version())
+                .filter(row -> row.version() != cached(row.key().key()).version())
                 .map(row -> row.key().key())
                 .toList();
     }
 
-    /** Takes what was written. */
-    void written(Map<String, PrepaidRow> changed, MarkRow marks, long version) {
-        changed.forEach((name, row) -> accounts.put(name, new Known(row, version)));
-        predecessor = Optional.of(marks);
-        marksVersion = version;
+    /** Caches the rows of a committed write. */
+    void cacheWritten(Map<String, PrepaidRow> changed, MarkRow usageCaps, long version) {
+        changed.forEach((name, row) -> accounts.put(name, new CachedRow(row, version)));
+        ownUsageCaps = Optional.of(usageCaps);
+        usageCapsVersion = version;
     }
 
-    /** Rows that a list read as one. */
-    void takeAll(List<StoredRow> rows) {
-        new ArrayList<>(rows).forEach(this::take);
+    /** Caches all rows of one list call. */
+    void cacheRows(List<StoredRow> rows) {
+        new ArrayList<>(rows).forEach(this::cacheRow);
     }
 
-    private Known known(String name) {
-        return accounts.getOrDefault(name, new Known(PrepaidRow.EMPTY, 0));
+    private CachedRow cached(String name) {
+        return accounts.getOrDefault(name, new CachedRow(PrepaidRow.EMPTY, 0));
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/Lenders.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/Lenders.java
@@ -4,50 +4,50 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** Other entries, as far as they may lend tokens. */
+/** Borrows tokens from other entries and returns them. */
 public interface Lenders {
     /**
-     * Asks the others one after the other until nothing lacks or nobody is left.
+     * Asks other entries one after the other until no tokens are missing or all of them have been asked.
      *
-     * @param lacking tokens that lack at the moment
-     * @param lent told each amount that was lent
-     * @param atEnd told once, when the last one has answered or did not answer in time
+     * @param lacking supplies the number of tokens that are still missing
+     * @param lent receives the number of tokens of each loan
+     * @param atEnd called once, when the last entry has answered or has timed out
      */
     void ask(String account, LongSupplier lacking, LongConsumer lent, Consumer<Answers> atEnd);
 
-    /** Whether an entry that holds leases of the account is connected, to which tokens can be returned. */
+    /** Returns whether an entry that holds leases of the account is connected, so that tokens can be returned to it. */
     boolean canReturn(String account);
 
-    /** Returns tokens, which are lost if they do not arrive. */
+    /** Returns tokens to an entry that holds leases of the account. They are lost if the message does not arrive. */
     void giveBack(String account, long tokens);
 
-    /** Lends from this entry's leases to others. */
+    /** Lends tokens of this entry's leases to other entries. */
     interface Lender {
-        /** Lends tokens, fewer than asked if there are not so many; tells the outcome once. */
+        /** Lends up to the requested number of tokens, and calls {@code then} once with the result. */
         void lend(String account, long asked, Consumer<Loan> then);
 
-        /** Takes tokens that a borrower returned. */
+        /** Accepts tokens that a borrower returned. */
         void takeBack(String account, long tokens);
     }
 
     /**
-     * What one entry lends.
+     * Result of asking one entry.
      *
-     * @param tokens tokens lent for good
-     * @param moreSoon whether it may have more soon, as the store answers it
+     * @param tokens number of tokens lent; the borrower does not have to return them
+     * @param moreSoon whether the lender may soon have more tokens, because the store answers it
      */
     record Loan(long tokens, boolean moreSoon) {}
 
     /**
-     * What the others answered.
+     * Summary of the answers of all entries that were asked.
      *
-     * @param asked entries that were asked
-     * @param answered those of them that answered in time
+     * @param asked number of entries that were asked
+     * @param answered number of entries that answered in time
      * @param homeAnswered whether an entry that holds leases of the account answered
-     * @param moreSoon whether such an entry may have more soon
+     * @param moreSoon whether an entry that holds leases of the account may soon have more tokens
      */
     record Answers(int asked, int answered, boolean homeAnswered, boolean moreSoon) {
-        /** Nobody was asked. */
+        /** Summary for the case that no entry was asked. */
         static final Answers NONE = new Answers(0, 0, false, false);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
@@ -10,76 +10,80 @@
 import org.streamring.kernel.prepaid.PrepaidRow;
 
 /**
- * Takes back what a predecessor on this box can't have used: at once if it ended before it ran out of patience, else
- * when all of its witnesses have told what it noted. Where one of them is gone, what it could not have used by the
- * time of this process's start is taken back. Confined to the event loop.
+ * Reclaims the tokens that a predecessor on this box cannot have used. If the predecessor ended before its silence
+ * timeout, they are reclaimed at once, otherwise when all of its witnesses have reported its usage records. If a
+ * witness is gone, the tokens that it could not have used by the start of this process are reclaimed. Confined to the
+ * event loop.
  */
 final class PredecessorLeases {
-    /** Clocks of the store and of this box may run apart this far within a process's patience. */
-    private static final long CLOCK_MARGIN_MILLIS = 200;
-    /** A witness that lives is connected about a second after this process started, and answers at once. */
-    private static final long WITNESSES_AWAITED_MILLIS = 3_000;
+    /** Maximum drift between the clocks of the store and of this box within the silence timeout. */
+    private static final long MAX_CLOCK_DRIFT_MILLIS = 200;
+    /** A live witness is connected about a second after the start of this process, and answers at once. */
+    private static final long WITNESS_REPORT_TIMEOUT_MILLIS = 3_000;
 
-    private final PrepaidBook book;
+    private final PrepaidBook ledger;
     private final Witnesses witnesses;
     private final LongSupplier clock;
     private final LongSupplier processAge;
     private final DecisionLog log;
     private final Map<String, Map<String, Long>> reports = new HashMap<>();
-    private Optional<MarkRow> found = Optional.empty();
+    private Optional<MarkRow> predecessorRow = Optional.empty();
     private long startStoreMillis = Long.MAX_VALUE;
     private long bootMillis;
     private long foundMillis;
     private boolean logged;
 
     /**
-     * Creates one that has found nothing.
+     * Creates an instance without a predecessor.
      *
-     * @param clock milliseconds on a steady clock
-     * @param processAge milliseconds since the runtime of this process began to start; asked only where a predecessor
-     *     is found, as the first answer takes some 50 ms of a core
+     * @param clock milliseconds on a monotonic clock
+     * @param processAge milliseconds since the JVM of this process began to start; called only if there is a
+     *     predecessor, because the first call takes about 50 ms of CPU time
      */
     PredecessorLeases(
-            PrepaidBook book, Witnesses witnesses, LongSupplier clock, LongSupplier processAge, DecisionLog log) {
-        this.book = book;
+            PrepaidBook ledger, Witnesses witnesses, LongSupplier clock, LongSupplier processAge, DecisionLog log) {
+        this.ledger = ledger;
         this.witnesses = witnesses;
         this.clock = clock;
         this.processAge = processAge;
         this.log = log;
     }
 
-    /** Takes an estimate of the time of the store at which the clock began; never too early. */
+    /** Adds an estimate of the store time at which the clock started. An estimate is never too early. */
     void startedBefore(long storeMillis) {
         startStoreMillis = Math.min(startStoreMillis, storeMillis);
     }
 
-    /** Takes this box's marks as they stand in the store; later writes of the predecessor replace earlier ones. */
-    void marksRead(Optional<MarkRow> marks) {
-        Optional<MarkRow> left = marks.filter(each -> !each.incarnation().equals(book.incarnation()));
-        if (left.isEmpty()) {
+    /** Sets the usage caps that the store holds for this box. Later writes of the predecessor replace earlier ones. */
+    void usageCapsRead(Optional<MarkRow> usageCaps) {
+        Optional<MarkRow> ofPredecessor =
+                usageCaps.filter(each -> !each.incarnation().equals(ledger.incarnation()));
+        if (ofPredecessor.isEmpty()) {
             return;
         }
-        if (found.isEmpty()) {
+        if (predecessorRow.isEmpty()) {
             foundMillis = clock.getAsLong();
             bootMillis = Math.max(0, processAge.getAsLong() - clock.getAsLong());
         }
-        found = left;
+        predecessorRow = ofPredecessor;
     }
 
     /**
-     * Time of the store by which the predecessor had ended, or later. The runtime starts for a second and more on a
-     * small box before the clock begins, and the predecessor was gone by then. Without this the marks of most of 30
-     * entries that were all killed counted 2 s of silence and more.
+     * Returns an upper bound of the store time at which the predecessor ended. On a small box the JVM takes a second or
+     * more to start before the clock starts, and the predecessor had ended before that. Without subtracting this time,
+     * 2 s or more without a confirmed write were counted for the usage caps of most of 30 entries that were all killed.
      */
     private long endStoreMillis() {
         return startStoreMillis - bootMillis;
     }
 
-    /** Asks the witnesses that have not answered yet, if there are any to be asked. */
+    /** Queries the witnesses that have not answered yet, if their reports are needed. */
     void askWitnesses() {
-        found.filter(marks -> !heldMarks(marks)).ifPresent(marks -> marks.witnesses().stream()
-                .filter(witness -> !reports.containsKey(witness))
-                .forEach(witness -> witnesses.ask(witness, marks.incarnation(), this::reported)));
+        predecessorRow
+                .filter(usageCaps -> !endedBeforeSilenceTimeout(usageCaps))
+                .ifPresent(usageCaps -> usageCaps.witnesses().stream()
+                        .filter(witness -> !reports.containsKey(witness))
+                        .forEach(witness -> witnesses.ask(witness, usageCaps.incarnation(), this::reported)));
     }
 
     private void reported(String witness, Map<String, Long> tokens) {
@@ -88,79 +92,81 @@
         }
     }
 
-    /** An account's row without what the predecessor left; the same row if there is nothing to take back. */
-    PrepaidRow without(String account, PrepaidRow row) {
-        return found.flatMap(marks -> takenBack(account, row, marks)).orElse(row);
+    /** Returns the row of an account without the predecessor's lease, or the same row if nothing can be reclaimed. */
+    PrepaidRow removeFrom(String account, PrepaidRow row) {
+        return predecessorRow
+                .flatMap(usageCaps -> reclaimedRow(account, row, usageCaps))
+                .orElse(row);
     }
 
-    private Optional<PrepaidRow> takenBack(String account, PrepaidRow row, MarkRow marks) {
-        if (heldMarks(marks)) {
-            return book.reclaim(account, row, marks, endStoreMillis() + CLOCK_MARGIN_MILLIS);
+    private Optional<PrepaidRow> reclaimedRow(String account, PrepaidRow row, MarkRow usageCaps) {
+        if (endedBeforeSilenceTimeout(usageCaps)) {
+            return ledger.reclaim(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
         }
-        if (!marks.witnesses().isEmpty() && reports.keySet().containsAll(marks.witnesses())) {
-            return PrepaidBook.reclaimNoted(account, row, marks, mostNoted(marks));
+        if (!usageCaps.witnesses().isEmpty() && reports.keySet().containsAll(usageCaps.witnesses())) {
+            return PrepaidBook.reclaimNoted(account, row, usageCaps, highestRecorded(usageCaps));
         }
-        if (nothingMoreToHear(marks)) {
-            return book.reclaimReleased(account, row, marks, endStoreMillis() + CLOCK_MARGIN_MILLIS);
+        if (noMoreReportsExpected(usageCaps)) {
+            return ledger.reclaimReleased(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
         }
         return Optional.empty();
     }
 
-    private boolean nothingMoreToHear(MarkRow marks) {
-        boolean waitedLong = clock.getAsLong() - foundMillis > WITNESSES_AWAITED_MILLIS;
-        return waitedLong
-                || marks.witnesses().stream()
+    private boolean noMoreReportsExpected(MarkRow usageCaps) {
+        boolean timedOut = clock.getAsLong() - foundMillis > WITNESS_REPORT_TIMEOUT_MILLIS;
+        return timedOut
+                || usageCaps.witnesses().stream()
                         .filter(witness -> !reports.containsKey(witness))
                         .anyMatch(witnesses::gone)
-                || marks.witnesses().isEmpty();
+                || usageCaps.witnesses().isEmpty();
     }
 
-    private Map<String, Long> mostNoted(MarkRow marks) {
+    private Map<String, Long> highestRecorded(MarkRow usageCaps) {
         Map<String, Long> most = new HashMap<>();
-        marks.witnesses().stream()
+        usageCaps.witnesses().stream()
                 .map(witness -> reports.getOrDefault(witness, Map.of()))
-                .forEach(notes -> notes.forEach((account, tokens) -> most.merge(account, tokens, Math::max)));
+                .forEach(records -> records.forEach((account, tokens) -> most.merge(account, tokens, Math::max)));
         return most;
     }
 
-    private boolean heldMarks(MarkRow marks) {
-        long patience = book.settings().patience().toMillis() - CLOCK_MARGIN_MILLIS;
-        return marks.heldBy(endStoreMillis(), patience);
+    private boolean endedBeforeSilenceTimeout(MarkRow usageCaps) {
+        long silenceTimeout = ledger.settings().patience().toMillis() - MAX_CLOCK_DRIFT_MILLIS;
+        return usageCaps.heldBy(endStoreMillis(), silenceTimeout);
     }
 
-    /** Logs that accounts were written without what the predecessor left. */
-    void tookBack(TakenBack taken) {
-        if (taken.accounts() > 0) {
+    /** Logs the leases that a committed write reclaimed. */
+    void logReclaimed(ReclaimedLeases reclaimed) {
+        if (reclaimed.accounts() > 0) {
             log.line(
                     "predecessor_settled",
                     "accounts_taken_back",
-                    taken.accounts(),
+                    reclaimed.accounts(),
                     "tokens",
-                    taken.tokens(),
+                    reclaimed.tokens(),
                     "unproved_tokens",
-                    taken.unproved());
+                    reclaimed.unproved());
         }
     }
 
-    /** Logs once what was found. */
+    /** Logs the predecessor, if there is one, at the first call only. */
     void logOnce() {
         if (logged) {
             return;
         }
         logged = true;
-        found.ifPresent(marks -> log.line(
+        predecessorRow.ifPresent(usageCaps -> log.line(
                 "predecessor_found",
                 "incarnation",
-                marks.incarnation(),
+                usageCaps.incarnation(),
                 "confirmed",
-                marks.confirmedMillis(),
+                usageCaps.confirmedMillis(),
                 "started",
                 endStoreMillis(),
                 "boot_ms",
                 bootMillis,
                 "held_marks",
-                heldMarks(marks),
+                endedBeforeSilenceTimeout(usageCaps),
                 "witnesses",
-                marks.witnesses().size()));
+                usageCaps.witnesses().size()));
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/PrepaidRowCodec.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/PrepaidRowCodec.java
@@ -18,8 +18,9 @@
 import org.streamring.kernel.prepaid.PrepaidRow;
 
 /**
- * Text form of an account's row: {@code [closed, limit, limit version, holder, granted, spent, holder, …]}, short as
- * the store's bytes are paid for.
+ * Encodes rows as text. The row of an account is
+ * {@code [closed, limit, limit version, holder, granted, spent, holder, …]}, which is short because the store charges
+ * by the byte.
  */
 final class PrepaidRowCodec {
     private static final JsonFactory JSON = new JsonFactory();
@@ -45,19 +46,19 @@
         return text.toString();
     }
 
-    /** Reads a row; empty if the text is of another form. */
+    /** Decodes the row of an account. Returns empty if the text has another format. */
     static Optional<PrepaidRow> read(String text) {
         try (JsonParser parser = JSON.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
                 return Optional.empty();
             }
-            long closed = number(parser);
-            long limit = number(parser);
-            long limitVersion = number(parser);
+            long closed = readNumber(parser);
+            long limit = readNumber(parser);
+            long limitVersion = readNumber(parser);
             Map<String, Holding> holdings = new TreeMap<>();
             while (parser.nextToken() == JsonToken.VALUE_STRING) {
                 String holder = parser.getText();
-                holdings.put(holder, new Holding(number(parser), number(parser)));
+                holdings.put(holder, new Holding(readNumber(parser), readNumber(parser)));
             }
             return Optional.of(new PrepaidRow(closed, limit, limitVersion, holdings));
         } catch (IOException e) {
@@ -66,27 +67,29 @@
     }
 
     /**
-     * Writes marks: {@code [incarnation, confirmed, [witness, …], account, start, at once, at patience, …, cover]}.
-     * Older processes read up to the last account, and write no cover.
+     * Encodes usage caps as
+     * {@code [incarnation, confirmed, [witness, …], account, start, at once, at patience, …, cover]},
+     * where "at patience" is the cap at the silence timeout. Older versions read up to the last account, and do not
+     * write the cover.
      */
-    static String writeMarks(MarkRow marks) {
+    static String writeUsageCaps(MarkRow usageCaps) {
         StringWriter text = new StringWriter();
         try (JsonGenerator generator = JSON.createGenerator(text)) {
             generator.writeStartArray();
-            generator.writeString(marks.incarnation());
-            generator.writeNumber(marks.confirmedMillis());
+            generator.writeString(usageCaps.incarnation());
+            generator.writeNumber(usageCaps.confirmedMillis());
             generator.writeStartArray();
-            for (String witness : new TreeSet<>(marks.witnesses())) {
+            for (String witness : new TreeSet<>(usageCaps.witnesses())) {
                 generator.writeString(witness);
             }
             generator.writeEndArray();
-            for (Map.Entry<String, Mark> mark : marks.marks().entrySet()) {
-                generator.writeString(mark.getKey());
-                generator.writeNumber(mark.getValue().start());
-                generator.writeNumber(mark.getValue().atOnce());
-                generator.writeNumber(mark.getValue().atPatience());
+            for (Map.Entry<String, Mark> cap : usageCaps.marks().entrySet()) {
+                generator.writeString(cap.getKey());
+                generator.writeNumber(cap.getValue().start());
+                generator.writeNumber(cap.getValue().atOnce());
+                generator.writeNumber(cap.getValue().atPatience());
             }
-            generator.writeNumber(marks.coverMillis());
+            generator.writeNumber(usageCaps.coverMillis());
             generator.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -94,30 +97,30 @@
         return text.toString();
     }
 
-    /** Reads marks; empty if the text is of another form. */
-    static Optional<MarkRow> readMarks(String text) {
+    /** Decodes usage caps. Returns empty if the text has another format. */
+    static Optional<MarkRow> readUsageCaps(String text) {
         try (JsonParser parser = JSON.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_ARRAY || parser.nextToken() != JsonToken.VALUE_STRING) {
                 return Optional.empty();
             }
             String incarnation = parser.getText();
-            long confirmed = number(parser);
-            Set<String> witnesses = strings(parser);
-            Map<String, Mark> marks = new TreeMap<>();
+            long confirmed = readNumber(parser);
+            Set<String> witnesses = readStrings(parser);
+            Map<String, Mark> usageCaps = new TreeMap<>();
             while (parser.nextToken() == JsonToken.VALUE_STRING) {
                 String account = parser.getText();
-                marks.put(account, new Mark(number(parser), number(parser), number(parser)));
+                usageCaps.put(account, new Mark(readNumber(parser), readNumber(parser), readNumber(parser)));
             }
             long cover = parser.currentToken() == JsonToken.VALUE_NUMBER_INT ? parser.getLongValue() : 0;
-            return Optional.of(new MarkRow(incarnation, confirmed, marks, witnesses, cover));
+            return Optional.of(new MarkRow(incarnation, confirmed, usageCaps, witnesses, cover));
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    private static Set<String> strings(JsonParser parser) throws IOException {
+    private static Set<String> readStrings(JsonParser parser) throws IOException {
         if (parser.nextToken() != JsonToken.START_ARRAY) {
-            throw new IOException("no list of witnesses");
+            throw new IOException("array of witnesses expected");
         }
         Set<String> strings = new TreeSet<>();
         while (parser.nextToken() == JsonToken.VALUE_STRING) {
@@ -126,7 +129,7 @@
         return strings;
     }
 
-    private static long number(JsonParser parser) throws IOException {
+    private static long readNumber(JsonParser parser) throws IOException {
         parser.nextToken();
         return parser.getLongValue();
     }
--- a/direct/src/main/java/org/streamring/direct/ledger/TokenDesk.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/TokenDesk.java
@@ -22,41 +22,41 @@
 import org.streamring.kernel.store.RowStore;
 
 /**
- * Gives prepaid tokens to requests: from this entry's leases, from a larger lease if the store answers in time, or from
- * what another entry lends. Confined to the event loop.
+ * Allocates prepaid tokens to requests from this entry's leases, from a larger lease if the store answers in time, or
+ * from loans of other entries. Confined to the event loop.
  */
 public final class TokenDesk implements TokenSource, LeaseRenewer.Listener {
-    private static final long LONGEST_WAIT_MILLIS = 130;
-    /** The first lease of a process is on its way for longer, and it has nothing else to offer. */
+    private static final long MAX_WAIT_MILLIS = 130;
+    /** The first lease of a process takes longer, and the process has no other tokens until then. */
     private static final long FIRST_LEASE_WAIT_MILLIS = 200;
 
-    /** An absence of the store mostly lasts some seconds; otherwise others give tokens back all the time. */
-    private static final Duration UNTIL_THE_STORE_IS_BACK = Duration.ofSeconds(5);
+    /** A store outage mostly lasts some seconds. While the store answers, other entries return tokens all the time. */
+    private static final Duration RETRY_AFTER_STORE_OUTAGE = Duration.ofSeconds(5);
 
-    private static final Duration UNTIL_TOKENS_RETURN = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER_SHORTAGE = Duration.ofSeconds(1);
     /**
-     * An entry that is back meets others within a second or two. Without a wait for the first one it refused at once,
-     * 407 requests of 11,284 on a day on which all of 33 entries were lost and came back.
+     * A restarted entry connects to others within one or two seconds. Without waiting for the first connection, entries
+     * refused 407 of 11,284 requests at once after all of 33 entries were lost and restarted.
      */
-    private static final long MEETING_MILLIS = 5_000;
+    private static final long FIRST_CONNECTION_MILLIS = 5_000;
 
-    private static final long LAST_TRY_MILLIS = 60;
+    private static final long FINAL_TRY_MILLIS = 60;
     /**
-     * A lender that stands still for a moment answers late. A request was refused beside one that stood still for
-     * 150 ms with 18,750 idle tokens. Much shorter than the 1.5 s after which a silent connection ends.
+     * A lender that pauses for a moment answers late. Without this wait a request was refused while a lender that
+     * paused for 150 ms had 18,750 idle tokens. Much shorter than the 1.5 s after which a silent connection is closed.
      */
-    private static final long LATE_LENDER_MILLIS = 200;
+    private static final long LATE_LENDER_WAIT_MILLIS = 200;
 
-    private static final long EXPIRY_MILLIS = 20;
-    /** A lender's write takes some 10 to 20 ms. */
-    private static final long ASK_AGAIN_MILLIS = 20;
+    private static final long EXPIRY_CHECK_INTERVAL_MILLIS = 20;
+    /** A write of a lender takes about 10 to 20 ms. */
+    private static final long ASK_AGAIN_DELAY_MILLIS = 20;
 
     private final EventLoop loop;
-    private final PrepaidBook book;
+    private final PrepaidBook ledger;
     private final LeaseRows rows;
     private final LeaseRenewer renewer;
-    private final UseNotes notes;
-    private final LoanDesk loans;
+    private final UsageRecorder usageRecorder;
+    private final TokenLender tokenLender;
     private final Supplier<Optional<RouteTable>> routes;
     private final AccountHomes homes;
     private final Lenders lenders;
@@ -66,16 +66,16 @@
     private final List<Waiter> waiters = new ArrayList<>();
 
     /**
-     * Creates one; nothing happens before {@link #start}.
+     * Creates an allocator; nothing is read or written before {@link #start}.
      *
      * @param box name and address of this box
-     * @param clock milliseconds since this process began, on a steady clock
-     * @param processAge milliseconds since the runtime of this process began to start
+     * @param clock milliseconds since this process started, on a monotonic clock
+     * @param processAge milliseconds since the JVM of this process began to start
      */
     public TokenDesk(
             EventLoop loop,
             RowStore store,
-            PrepaidBook book,
+            PrepaidBook ledger,
             String box,
             Supplier<Optional<RouteTable>> routes,
             AccountHomes homes,
@@ -88,7 +88,7 @@
             EntryMetrics metrics,
             DecisionLog log) {
         this.loop = loop;
-        this.book = book;
+        this.ledger = ledger;
         this.rows = new LeaseRows(log, box);
         this.routes = routes;
         this.homes = homes;
@@ -97,59 +97,62 @@
         this.metrics = metrics;
         this.log = log;
         this.renewer = new LeaseRenewer(
-                loop, store, book, rows, routes, homes, entries, witnesses, clock, processAge, random, log, this);
-        this.notes = new UseNotes(loop, book, witnesses, this::serveWaiters);
-        this.loans = new LoanDesk(
+                loop, store, ledger, rows, routes, homes, entries, witnesses, clock, processAge, random, log, this);
+        this.usageRecorder = new UsageRecorder(loop, ledger, witnesses, this::serveWaiters);
+        this.tokenLender = new TokenLender(
                 loop,
-                book,
+                ledger,
                 homes,
                 renewer,
-                notes,
+                usageRecorder,
                 lenders,
                 account -> PrepaidBook.kept(row(account).limit(), entries.getAsInt()),
                 this::serveWaiters,
                 log);
     }
 
-    /** Starts to read and renew leases. */
+    /** Starts reading and renewing leases. */
     public void start() {
         renewer.start();
-        notes.start();
-        loans.start();
-        loop.scheduleAtFixedRate(this::expireWaiters, EXPIRY_MILLIS, EXPIRY_MILLIS, TimeUnit.MILLISECONDS);
+        usageRecorder.start();
+        tokenLender.start();
+        loop.scheduleAtFixedRate(
+                this::expireWaiters, EXPIRY_CHECK_INTERVAL_MILLIS, EXPIRY_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the store does not answer at the moment. */
+    /** Returns whether the store is currently not answering. */
     public boolean storeAway() {
-        return renewer.away();
+        return renewer.storeUnreachable();
     }
 
-    /** Whether leases were written once since the start. */
+    /** Returns whether at least one write of leases was committed since the start. */
     public boolean renewedOnce() {
         return renewer.renewedOnce();
     }
 
-    /** Gives back, from now on, what no request uses or waits for. */
+    /** Stops taking tokens, and from now on returns those that no request uses or waits for. */
     public void release() {
         renewer.release();
     }
 
-    /** Gives back all that is not spent; complete when the store said so or did not answer. */
+    /**
+     * Returns all unspent tokens to the store. The future completes when the store has confirmed it or did not answer.
+     */
     public CompletableFuture<Void> close() {
         return renewer.close();
     }
 
     @Override
     public Pending reserve(String account, long tokens, Consumer<Outcome> then) {
-        if (book.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
+        if (ledger.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
             then.accept(Outcome.RESERVED);
             return () -> {};
         }
         Waiter waiter = new Waiter(account, tokens, then);
         waiters.add(waiter);
-        if (book.noteWouldHelp(account, tokens)) {
-            waiter.waitForNote();
-        } else if (renewer.away() || !homes.isHome(account)) {
+        if (ledger.noteWouldHelp(account, tokens)) {
+            waiter.waitForWitness();
+        } else if (renewer.storeUnreachable() || !homes.isHome(account)) {
             waiter.borrow();
         } else {
             waiter.lease();
@@ -159,17 +162,17 @@
 
     @Override
     public Duration untilAvailable() {
-        return renewer.away() ? UNTIL_THE_STORE_IS_BACK : UNTIL_TOKENS_RETURN;
+        return renewer.storeUnreachable() ? RETRY_AFTER_STORE_OUTAGE : RETRY_AFTER_SHORTAGE;
     }
 
-    /** Lends from this entry's leases to others. */
+    /** Returns the lender that serves loan requests of other entries from this entry's leases. */
     public Lenders.Lender lender() {
-        return loans;
+        return tokenLender;
     }
 
     @Override
     public void settle(String account, long reserved, long used) {
-        book.settle(account, reserved, used);
+        ledger.settle(account, reserved, used);
         serveWaiters();
     }
 
@@ -180,13 +183,13 @@
             PrepaidRow row = row(waiter.account);
             if (PrepaidBook.exhausted(row, waiter.tokens)) {
                 waiter.end(Outcome.EXHAUSTED, "rest_too_small");
-            } else if (row.unheld() + book.available(waiter.account) < waiter.tokens) {
+            } else if (row.unheld() + ledger.available(waiter.account) < waiter.tokens) {
                 waiter.borrow();
             }
         }
     }
 
-    /** The account's row as last read, with the limit in force. */
+    /** Returns the row of an account as last read, with the limit of the current configuration. */
     private PrepaidRow row(String account) {
         PrepaidRow row = rows.account(account);
         return routes.get()
@@ -200,7 +203,7 @@
 
     @Override
     public void storeLost() {
-        loans.storeLost();
+        tokenLender.storeLost();
         List.copyOf(waiters).forEach(Waiter::borrow);
     }
 
@@ -208,7 +211,7 @@
         for (Waiter waiter : List.copyOf(waiters)) {
             waiter.tryServe();
         }
-        loans.serveWaiting();
+        tokenLender.serveWaiting();
     }
 
     private void expireWaiters() {
@@ -220,26 +223,26 @@
         }
     }
 
-    private long longestWait() {
-        return renewer.renewedOnce() ? LONGEST_WAIT_MILLIS : FIRST_LEASE_WAIT_MILLIS;
+    private long maxWaitMillis() {
+        return renewer.renewedOnce() ? MAX_WAIT_MILLIS : FIRST_LEASE_WAIT_MILLIS;
     }
 
-    /** Whether the first lender may yet be met. */
-    private boolean meetingOthers() {
-        return clock.getAsLong() < MEETING_MILLIS;
+    /** Returns whether the process started so recently that its first connection to a lender may still follow. */
+    private boolean mayStillConnect() {
+        return clock.getAsLong() < FIRST_CONNECTION_MILLIS;
     }
 
     private final class Waiter {
         private final String account;
         private final long tokens;
         private final Consumer<Outcome> then;
-        private long expiresMillis = clock.getAsLong() + longestWait();
+        private long expiresMillis = clock.getAsLong() + maxWaitMillis();
         private boolean asked;
         private Lenders.Answers answers = Lenders.Answers.NONE;
         private boolean leasing;
-        private boolean metNobody;
-        private boolean roundEnded;
-        private boolean waitedForLate;
+        private boolean noLenderConnected;
+        private boolean allLendersAsked;
+        private boolean waitedForLateLender;
 
         private Waiter(String account, long tokens, Consumer<Outcome> then) {
             this.account = account;
@@ -249,17 +252,20 @@
 
         private void cancel() {
             if (waiters.remove(this) && leasing) {
-                book.addWaiting(account, -tokens);
+                ledger.addWaiting(account, -tokens);
             }
         }
 
-        /** Whatever ends one request may serve or end another one that a pass over all of them comes to later. */
+        /**
+         * Returns whether this request still waits. The callback of one request may serve or end another one that the
+         * current iteration over all waiting requests has not reached yet.
+         */
         private boolean isWaiting() {
             return waiters.contains(this);
         }
 
         private void tryServe() {
-            if (isWaiting() && book.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
+            if (isWaiting() && ledger.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
                 end(Outcome.RESERVED, "leased");
             }
         }
@@ -267,89 +273,92 @@
         /** Waits for a larger lease. */
         private void lease() {
             leasing = true;
-            book.addWaiting(account, tokens);
+            ledger.addWaiting(account, tokens);
             renewer.renewSoon();
         }
 
-        /** Waits until a witness has noted the tokens, which the lease holds. */
-        private void waitForNote() {
+        /** Waits until a witness has recorded the tokens, which the lease already includes. */
+        private void waitForWitness() {
             leasing = true;
-            book.addWaiting(account, tokens);
-            notes.sendSoon();
+            ledger.addWaiting(account, tokens);
+            usageRecorder.sendNow();
         }
 
-        /** Asks other entries, once; what they lend stays here also if the request has gone on. */
+        /** Asks other entries once. Tokens that they lend stay at this entry even if the request no longer waits. */
         private void borrow() {
             if (asked || !isWaiting()) {
                 return;
             }
             asked = true;
-            lenders.ask(account, this::lacking, this::lent, this::allAsked);
+            lenders.ask(account, this::lacking, this::lent, this::continueAfterLoans);
         }
 
-        /** Entries that hold leases of the account write its row; others only where those can't. */
-        private void allAsked(Lenders.Answers received) {
+        /**
+         * Continues after all lenders were asked. An entry that is no home of the account takes a lease only as a last
+         * resort.
+         */
+        private void continueAfterLoans(Lenders.Answers received) {
             answers = received;
-            roundEnded = true;
-            metNobody = received.asked() == 0;
+            allLendersAsked = true;
+            noLenderConnected = received.asked() == 0;
             if (!isWaiting()) {
                 return;
             }
-            if (answers.asked() == 0 && !homes.isHome(account) && meetingOthers()) {
-                loop.schedule(this::askAgain, ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+            if (answers.asked() == 0 && !homes.isHome(account) && mayStillConnect()) {
+                loop.schedule(this::askAgain, ASK_AGAIN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             } else if (leasing) {
-                giveUp(renewer.away() ? "store_away" : "lease_not_in_time");
+                giveUp(renewer.storeUnreachable() ? "store_away" : "lease_not_in_time");
             } else if (answers.moreSoon()) {
-                loop.schedule(this::askAgain, ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
-            } else if (renewer.away()) {
+                loop.schedule(this::askAgain, ASK_AGAIN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+            } else if (renewer.storeUnreachable()) {
                 giveUp("store_away");
             } else {
-                expiresMillis = Math.max(expiresMillis, clock.getAsLong() + LAST_TRY_MILLIS);
+                expiresMillis = Math.max(expiresMillis, clock.getAsLong() + FINAL_TRY_MILLIS);
                 lease();
             }
         }
 
         private void askAgain() {
             if (isWaiting()) {
-                roundEnded = false;
-                lenders.ask(account, this::lacking, this::lent, this::allAsked);
+                allLendersAsked = false;
+                lenders.ask(account, this::lacking, this::lent, this::continueAfterLoans);
             }
         }
 
         private void expire() {
             if (asked) {
-                giveUp(metNobody ? "no_lender_met" : "lease_not_in_time");
+                giveUp(noLenderConnected ? "no_lender_met" : "lease_not_in_time");
             } else {
-                expiresMillis = clock.getAsLong() + LAST_TRY_MILLIS;
+                expiresMillis = clock.getAsLong() + FINAL_TRY_MILLIS;
                 borrow();
             }
         }
 
-        /** Ends without tokens, unless a lender that was asked may still answer. */
+        /** Ends the wait without tokens, unless a lender that was asked may still answer. */
         private void giveUp(String reason) {
-            if (waitedForLate || !lenderIsLate()) {
+            if (waitedForLateLender || !lenderIsLate()) {
                 end(Outcome.UNAVAILABLE, reason);
                 return;
             }
-            waitedForLate = true;
-            expiresMillis = clock.getAsLong() + LATE_LENDER_MILLIS;
+            waitedForLateLender = true;
+            expiresMillis = clock.getAsLong() + LATE_LENDER_WAIT_MILLIS;
         }
 
         private boolean lenderIsLate() {
-            return !roundEnded || answers.answered() < answers.asked();
+            return !allLendersAsked || answers.answered() < answers.asked();
         }
 
         private long lacking() {
-            return isWaiting() ? tokens - book.available(account) : 0;
+            return isWaiting() ? tokens - ledger.available(account) : 0;
         }
 
         private void lent(long amount) {
-            book.borrow(account, amount);
+            ledger.borrow(account, amount);
             log.line("tokens_borrowed", "account", account, "tokens", amount);
             serveWaiters();
         }
 
-        /** Tells the outcome; further calls have no effect. */
+        /** Ends the wait and passes on the outcome. Further calls have no effect. */
         private void end(Outcome outcome, String reason) {
             if (!isWaiting()) {
                 return;
@@ -373,7 +382,7 @@
                     "reason",
                     reason,
                     "available",
-                    book.available(account),
+                    ledger.available(account),
                     "limit",
                     row.limit(),
                     "used",
@@ -385,7 +394,7 @@
                     "spent_at_least",
                     row.spentAtLeast(),
                     "patience_left_ms",
-                    renewer.patienceLeftMillis(),
+                    renewer.silenceTimeoutLeftMillis(),
                     "lenders_asked",
                     answers.asked(),
                     "lenders_answered",
--- a/direct/src/main/java/org/streamring/direct/ledger/Witnesses.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/Witnesses.java
@@ -5,30 +5,31 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Other entries, as far as they witness what an entry uses beyond its marks. */
+/** Other entries as witnesses. They record the tokens that this entry uses above its usage caps. */
 public interface Witnesses {
     /**
-     * Chooses those that the next write should name.
+     * Chooses the witnesses for the next write.
      *
-     * @param present those that are named now; they stay as long as they are connected
-     * @return incarnations; those named now if nobody is connected
+     * @param present incarnations of the current witnesses, which are kept while they are connected
+     * @return incarnations of the chosen witnesses; the current ones if no entry is connected
      */
     Set<String> choose(Set<String> present);
 
     /**
-     * Asks witnesses to note tokens that may be used.
+     * Asks witnesses to record tokens that this entry may use.
      *
-     * @param acknowledged told the incarnation of each that noted them
+     * @param acknowledged receives the incarnation of each witness that recorded the tokens
      */
     void note(Set<String> witnesses, Map<String, Long> tokens, Consumer<String> acknowledged);
 
-    /** Whether another process has taken the place of a witness, so that it will never answer. */
+    /** Returns whether another process has replaced a witness, so that the witness will never answer. */
     boolean gone(String witness);
 
     /**
-     * Asks a witness what a dead incarnation noted there. A lost answer is asked for again by the next call.
+     * Queries a witness for the usage records of a dead incarnation. If the answer is lost, the next call queries
+     * again.
      *
-     * @param answered told the witness and the tokens by account
+     * @param answered receives the witness and the recorded tokens by account
      */
     void ask(String witness, String incarnation, BiConsumer<String, Map<String, Long>> answered);
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/package-info.java
@@ -1,4 +1,4 @@
-/** Leases of prepaid tokens, kept in the store. */
+/** Leases of prepaid tokens, which are kept in the store, and loans of tokens between entries. */
 @NullMarked
 package org.streamring.direct.ledger;
 
--- a/direct/src/test/java/org/streamring/direct/ledger/PredecessorLeasesTest.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/PredecessorLeasesTest.java
@@ -25,8 +25,8 @@
     private static final long LIMIT = 1_000_000;
     private static final long LEASE = 400_000;
     private static final long CONFIRMED = 10_000;
-    /** Nothing used yet; half of the lease may be by the end of the patience of 3.2 s. */
-    private static final Mark MARK = new Mark(0, 0, LEASE / 2);
+    /** No token is used at the start; half of the lease may be used by the end of the silence timeout of 3.2 s. */
+    private static final Mark USAGE_CAP = new Mark(0, 0, LEASE / 2);
 
     private DecisionLog log;
     private long nowMillis;
@@ -43,39 +43,39 @@
     }
 
     @Test
-    public void withoutABootMarksCountUntilTheClockBegan() {
+    public void usageCapsRiseUntilTheClockStartsWithoutAJvmStartTime() {
         assertThat(usedAfterSettling(CONFIRMED + 2_000, 0)).isEqualTo(LEASE / 2 * 2_200 / 3_200);
     }
 
-    /** A box of a quarter of a core starts the runtime for 1.5 s before the process's clock begins. */
+    /** On a box with a quarter of a core, the JVM takes 1.5 s to start before the clock of the process starts. */
     @Test
-    public void marksCountUntilTheRuntimeBeganToStart() {
+    public void usageCapsRiseOnlyUntilTheJvmBeginsToStart() {
         assertThat(usedAfterSettling(CONFIRMED + 2_000, 1_500)).isEqualTo(LEASE / 2 * 700 / 3_200);
     }
 
     @Test
-    public void aPredecessorThatHeldItsMarksIsToldByTheTimeOfItsEnd() {
+    public void reclaimsWithoutWitnessesIfThePredecessorEndedBeforeItsSilenceTimeout() {
         assertThat(usedAfterSettling(CONFIRMED + 4_000, 0))
-                .as("out of patience, and its witness has not told")
+                .as("silence timeout has passed, and the witness has not reported")
                 .isEqualTo(LEASE);
         assertThat(usedAfterSettling(CONFIRMED + 4_000, 1_500)).isLessThan(LEASE / 2);
     }
 
-    private long usedAfterSettling(long clockBeganMillis, long bootMillis) {
+    private long usedAfterSettling(long clockStartMillis, long bootMillis) {
         PredecessorLeases predecessor = new PredecessorLeases(
                 new PrepaidBook("entry.new", PrepaidSettings.DEFAULT),
                 new SilentWitnesses(),
                 () -> nowMillis,
                 () -> nowMillis + bootMillis,
                 log);
-        predecessor.startedBefore(clockBeganMillis);
-        predecessor.marksRead(
-                Optional.of(new MarkRow(DEAD, CONFIRMED, Map.of(ACCOUNT, MARK), Set.of("entry-2.a"), 20_000)));
+        predecessor.startedBefore(clockStartMillis);
+        predecessor.usageCapsRead(
+                Optional.of(new MarkRow(DEAD, CONFIRMED, Map.of(ACCOUNT, USAGE_CAP), Set.of("entry-2.a"), 20_000)));
         PrepaidRow row = PrepaidRow.EMPTY.withLimit(LIMIT, 1).withHolding(DEAD, new Holding(LEASE, 0));
-        return predecessor.without(ACCOUNT, row).used();
+        return predecessor.removeFrom(ACCOUNT, row).used();
     }
 
-    /** They live, but have not answered yet. */
+    /** Live witnesses that have not answered yet. */
     private static final class SilentWitnesses implements Witnesses {
         @Override
         public Set<String> choose(Set<String> named) {
@@ -89,12 +89,12 @@
 
         @Override
         public void note(Set<String> witnesses, Map<String, Long> tokens, Consumer<String> acknowledged) {
-            // no note gets through
+            // no usage record arrives
         }
 
         @Override
         public void ask(String witness, String incarnation, BiConsumer<String, Map<String, Long>> answered) {
-            // no answer comes
+            // no answer arrives
         }
     }
 }
--- a/direct/src/test/java/org/streamring/direct/ledger/SlowRows.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/SlowRows.java
@@ -16,12 +16,12 @@
 import org.streamring.kernel.store.RowStore;
 import org.streamring.kernel.store.StoredRow;
 
-/** Rows in memory; a write is decided at once and answered late. */
+/** In-memory row store that applies a write at once and answers it with a delay. */
 final class SlowRows implements RowStore {
-    /** Changed rows of each write so far. */
+    /** Keys of the changed rows, by write. */
     final List<List<RowKey>> writes = new ArrayList<>();
 
-    /** Whether writes are answered from now on. */
+    /** Whether new writes are answered. */
     boolean answers = true;
 
     private final EventLoop loop;
@@ -36,13 +36,13 @@
         this.writeMillis = writeMillis;
     }
 
-    /** Puts a row as somebody else. */
+    /** Stores a row as another process would. */
     void put(RowKey key, String value) {
         version++;
         stored.put(key, new StoredRow(key, value, version, false));
     }
 
-    /** A row's value. */
+    /** Returns the value of a row. */
     String value(RowKey key) {
         return stored.get(key).value();
     }
--- a/direct/src/test/java/org/streamring/direct/ledger/TokenDeskTest.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/TokenDeskTest.java
@@ -39,48 +39,48 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A home entry of a fleet of 33 before a store that takes 30 ms to write, in simulated time. */
+/** Tests an entry of a fleet of 33 with a store that takes 30 ms to write, in simulated time. */
 public class TokenDeskTest {
     private static final String ACCOUNT = "hotel";
     private static final long LIMIT = 10_000_000;
-    /** More than marks leave without another write, and much less than the lease. */
+    /** More than the usage caps allow without another write, and much less than the lease. */
     private static final long LARGE = 400_000;
 
     private static final long WRITE_MILLIS = 30;
     private static final String PREDECESSOR = "entry.dead";
 
-    /** A borrower goes on to the next lender then. */
+    /** Time after which a borrower asks the next lender. */
     private static final long ANSWER_MILLIS = 60;
 
-    private static final long LONGEST_PAUSE_MILLIS = 2_000;
+    private static final long MAX_WRITE_PAUSE_MILLIS = 2_000;
 
-    private static final long STANDS_STILL_MILLIS = 300;
-    /** First wait of a process, a last try and the tick that ends them. */
-    private static final long REFUSED_BESIDE_NOBODY_MILLIS = 200 + ANSWER_MILLIS + 20;
+    private static final long LENDER_PAUSE_MILLIS = 300;
+    /** Wait for the first lease of a process, one final try and the check interval that ends them. */
+    private static final long REFUSAL_WITHOUT_LENDER_MILLIS = 200 + ANSWER_MILLIS + 20;
 
     private EmbeddedChannel time;
     private EventLoop loop;
     private long nowMillis;
     private SlowRows rows;
-    private PrepaidBook book;
-    private TokenDesk desk;
+    private PrepaidBook ledger;
+    private TokenDesk tokenAllocator;
     private DecisionLog log;
 
-    private Neighbours lenders;
+    private TestLenders lenders;
 
     @BeforeMethod
     public void setUp() {
-        begin(true);
+        startEntry(true);
         advanceUntilAWriteBegins();
         advance(WRITE_MILLIS);
     }
 
-    private void begin(boolean home) {
-        begin(home, List.of(ACCOUNT), List.of());
+    private void startEntry(boolean home) {
+        startEntry(home, List.of(ACCOUNT), List.of());
     }
 
-    /** Begins with accounts, of some of which a predecessor on this box left leases. */
-    private void begin(boolean home, List<String> accounts, List<String> left) {
+    /** Starts an entry with the given accounts. A predecessor on this box left leases of some of them. */
+    private void startEntry(boolean home, List<String> accounts, List<String> accountsWithLeases) {
         time = new EmbeddedChannel();
         time.freezeTime();
         loop = time.eventLoop();
@@ -97,19 +97,19 @@
                 .orElseThrow();
         AccountHomes homes = new AccountHomes(home ? view.of(ACCOUNT).get(0) : borrower);
         homes.others(names);
-        lenders = new Neighbours();
-        book = new PrepaidBook("entry.a", PrepaidSettings.DEFAULT);
+        lenders = new TestLenders();
+        ledger = new PrepaidBook("entry.a", PrepaidSettings.DEFAULT);
         List<PrepaidAccount> prepaid = accounts.stream()
                 .map(name ->
                         new PrepaidAccount(name, List.of("key-" + name), OptionalInt.empty(), OptionalLong.of(LIMIT)))
                 .toList();
         RouteTable table =
                 new RouteTable(new RoutingConfiguration(1, List.of(), List.of(), prepaid, CallerLimits.DEFAULT));
-        leavePredecessor(left);
-        desk = new TokenDesk(
+        leavePredecessor(accountsWithLeases);
+        tokenAllocator = new TokenDesk(
                 loop,
                 rows,
-                book,
+                ledger,
                 "box",
                 () -> Optional.of(table),
                 homes,
@@ -121,7 +121,7 @@
                 new Random(1),
                 new EntryMetrics(),
                 log);
-        desk.start();
+        tokenAllocator.start();
     }
 
     @AfterMethod(alwaysRun = true)
@@ -130,41 +130,44 @@
         log.close();
     }
 
-    /** Such requests were refused after 190 ms, as the renewal that they asked for was forgotten. */
+    /** Guards against losing a renewal that is requested during a write: such requests were refused after 190 ms. */
     @Test
-    public void aRequestThatComesDuringAWriteIsServedByTheNextOne() {
+    public void aRequestThatArrivesDuringAWriteIsServedByTheNextWrite() {
         advanceUntilAWriteBegins();
         advance(WRITE_MILLIS / 2);
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         advance(2 * WRITE_MILLIS);
         assertThat(outcomes).containsExactly(Outcome.RESERVED);
     }
 
-    /** Lenders answered after 25 ms with what they had by then, so that nobody got enough. */
+    /** Guards against lenders that answer after 25 ms with the tokens they have by then: no borrower got enough. */
     @Test
-    public void aBorrowerGetsAllOfALargeAskOnceTheStoreHasConfirmedIt() {
-        List<Lenders.Loan> loans = askForMuch();
+    public void aBorrowerGetsALargeLoanInFullAfterTheStoreConfirmsTheLease() {
+        List<Lenders.Loan> loans = requestLargeLoan();
         advance(ANSWER_MILLIS);
         assertThat(loans).extracting(Lenders.Loan::tokens).containsExactly(LARGE);
     }
 
     @Test
-    public void aBorrowerIsAnsweredInTimeWithWhatThereIsWhereTheStoreIsSilent() {
+    public void aBorrowerGetsTheAvailableTokensInTimeIfTheStoreDoesNotAnswer() {
         rows.answers = false;
-        List<Lenders.Loan> loans = askForMuch();
+        List<Lenders.Loan> loans = requestLargeLoan();
         advance(ANSWER_MILLIS - 1);
         assertThat(loans).hasSize(1);
         assertThat(loans.get(0).tokens()).isBetween(1L, LARGE - 1);
     }
 
-    /** After a loss of all entries 407 requests were refused at once by entries that had not yet met a lender. */
+    /**
+     * Guards against refusals after a restart: after all entries were lost, 407 requests were refused at once by
+     * entries that were not yet connected to a lender.
+     */
     @Test
-    public void anEntryThatIsBackWaitsForItsFirstLender() {
-        begin(false);
+    public void aRestartedEntryWaitsForItsFirstLender() {
+        startEntry(false);
         rows.answers = false;
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         advance(100);
         assertThat(outcomes).isEmpty();
         lenders.connected = true;
@@ -173,115 +176,120 @@
     }
 
     @Test
-    public void anEntryThatMeetsNobodyRefusesSoon() {
-        begin(false);
+    public void aRestartedEntryWithoutConnectionsRefusesSoon() {
+        startEntry(false);
         rows.answers = false;
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         advance(230);
         assertThat(outcomes).containsExactly(Outcome.UNAVAILABLE);
     }
 
     @Test
-    public void anEntryThatHasLostAllOthersRefusesAtOnce() {
-        begin(false);
+    public void anEntryThatHasLostAllConnectionsRefusesAtOnce() {
+        startEntry(false);
         advance(9_000);
         rows.answers = false;
         advance(4_000);
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         assertThat(outcomes).containsExactly(Outcome.UNAVAILABLE);
     }
 
-    /** A lender stood still for 150 ms; its 18,750 idle tokens came after the request had been refused. */
+    /** A lender paused for 150 ms, and its 18,750 idle tokens arrived after the request had been refused. */
     @Test
-    public void aRequestWaitsForALenderThatStandsStillForAMoment() {
-        List<Outcome> outcomes = askLender(OptionalLong.of(STANDS_STILL_MILLIS));
-        advance(STANDS_STILL_MILLIS);
+    public void aRequestWaitsForALenderThatPausesBriefly() {
+        List<Outcome> outcomes = askLender(OptionalLong.of(LENDER_PAUSE_MILLIS));
+        advance(LENDER_PAUSE_MILLIS);
         assertThat(outcomes).containsExactly(Outcome.RESERVED);
     }
 
     @Test
-    public void aLenderThatNeverAnswersDelaysARefusalByAFifthOfASecond() {
+    public void aLenderThatNeverAnswersDelaysARefusalBy200Milliseconds() {
         List<Outcome> outcomes = askLender(OptionalLong.empty());
-        advance(REFUSED_BESIDE_NOBODY_MILLIS + 200);
+        advance(REFUSAL_WITHOUT_LENDER_MILLIS + 200);
         assertThat(outcomes).containsExactly(Outcome.UNAVAILABLE);
     }
 
     @Test
-    public void whereEachLenderHasAnsweredARefusalIsNotDelayed() {
-        begin(false);
+    public void aRefusalIsNotDelayedIfAllLendersHaveAnswered() {
+        startEntry(false);
         rows.answers = false;
         lenders.connected = true;
         lenders.tokens = 0;
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
-        advance(REFUSED_BESIDE_NOBODY_MILLIS);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
+        advance(REFUSAL_WITHOUT_LENDER_MILLIS);
         assertThat(outcomes).containsExactly(Outcome.UNAVAILABLE);
     }
 
     /**
-     * A request that ends gives its tokens back, which serves the next one at once; that one was then served once more,
-     * with other tokens, by the pass that had served the first. A request that is told twice is sent twice.
+     * A request that ends returns its tokens, which serves the next request at once. The iteration that had served the
+     * first request then served the next one again with other tokens. A request whose callback runs twice is sent
+     * twice.
      */
     @Test
-    public void aRequestIsServedOnceWhereTheOneBeforeItEndsAtOnce() {
+    public void aRequestIsServedOnceIfThePreviousOneEndsAtOnce() {
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcome -> desk.settle(ACCOUNT, LARGE, 0));
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcome -> tokenAllocator.settle(ACCOUNT, LARGE, 0));
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         advanceUntilAWriteBegins();
         advance(2 * WRITE_MILLIS);
         assertThat(outcomes).containsExactly(Outcome.RESERVED);
     }
 
-    /** It was answered as not run while it ran. */
+    /** Guards against reporting a request as not run while it runs. */
     @Test
-    public void aRequestThatIsServedAsTheOneBeforeItExpiresIsNotRefusedAfterwards() {
-        begin(false);
+    public void aRequestServedWhileThePreviousOneExpiresIsNotRefusedAfterwards() {
+        startEntry(false);
         rows.answers = false;
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcome -> desk.lender().takeBack(ACCOUNT, LARGE));
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
-        advance(REFUSED_BESIDE_NOBODY_MILLIS);
+        tokenAllocator.reserve(
+                ACCOUNT, LARGE, outcome -> tokenAllocator.lender().takeBack(ACCOUNT, LARGE));
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
+        advance(REFUSAL_WITHOUT_LENDER_MILLIS);
         assertThat(outcomes).containsExactly(Outcome.RESERVED);
     }
 
     private List<Outcome> askLender(OptionalLong answersAfterMillis) {
-        begin(false);
+        startEntry(false);
         rows.answers = false;
         lenders.connected = true;
-        lenders.standsStill = true;
+        lenders.paused = true;
         lenders.answersAfterMillis = answersAfterMillis;
         List<Outcome> outcomes = new ArrayList<>();
-        desk.reserve(ACCOUNT, LARGE, outcomes::add);
+        tokenAllocator.reserve(ACCOUNT, LARGE, outcomes::add);
         return outcomes;
     }
 
-    /** Asked after both homes, it wrote leases of its own into the row, and the four waits outlasted the borrower's. */
+    /**
+     * Guards against an entry that is no home of the account and writes leases of its own into the row when it is asked
+     * after both home entries: the four waits together exceeded the wait of the borrower.
+     */
     @Test
-    public void anEntryThatIsNoHomeAnswersABorrowerAtOnce() {
-        begin(false);
+    public void anEntryThatIsNoHomeEntryAnswersABorrowerAtOnce() {
+        startEntry(false);
         advance(1_000);
-        assertThat(askForMuch()).extracting(Lenders.Loan::tokens).containsExactly(0L);
+        assertThat(requestLargeLoan()).extracting(Lenders.Loan::tokens).containsExactly(0L);
     }
 
     /**
-     * After a loss of all of 33 entries each one's first write changed the rows of all accounts, so that hardly one was
-     * confirmed for five seconds: home entries went on without leases, 911 requests were refused.
+     * After all of 33 entries were lost, the first write of each entry changed the rows of all accounts, so that hardly
+     * any write was confirmed for five seconds. Home entries continued without leases, and 911 requests were refused.
      */
     @Test
-    public void anEntryThatIsBackFirstWritesOnlyTheAccountsWhoseHomeItIs() {
+    public void aRestartedEntryFirstWritesOnlyItsHomeAccounts() {
         List<String> accounts = fortyAccounts();
-        begin(true, accounts, accounts);
+        startEntry(true, accounts, accounts);
         advanceUntilAWriteBegins();
         assertThat(rows.writes.get(0)).hasSizeLessThan(12);
         assertThat(heldByPredecessor(List.of(ACCOUNT))).isZero();
     }
 
     @Test
-    public void whatAPredecessorLeftGoesBackWithinSecondsAFewAccountsAtATime() {
+    public void leasesOfAPredecessorAreReclaimedWithinSecondsAFewAccountsAtATime() {
         List<String> accounts = fortyAccounts();
-        begin(true, accounts, accounts);
+        startEntry(true, accounts, accounts);
         advance(8_000);
         assertThat(heldByPredecessor(accounts)).isZero();
         assertThat(rows.writes).allSatisfy(write -> assertThat(write).hasSizeLessThan(16));
@@ -293,23 +301,23 @@
                 .toList();
     }
 
-    private List<Lenders.Loan> askForMuch() {
+    private List<Lenders.Loan> requestLargeLoan() {
         advance(WRITE_MILLIS);
         List<Lenders.Loan> loans = new ArrayList<>();
-        desk.lender().lend(ACCOUNT, LARGE, loans::add);
+        tokenAllocator.lender().lend(ACCOUNT, LARGE, loans::add);
         return loans;
     }
 
     private void leavePredecessor(List<String> accounts) {
-        Map<String, Mark> marks = new HashMap<>();
+        Map<String, Mark> usageCaps = new HashMap<>();
         for (String account : accounts) {
-            marks.put(account, Mark.of(1_000));
+            usageCaps.put(account, Mark.of(1_000));
             PrepaidRow row = PrepaidRow.EMPTY.withLimit(LIMIT, 1).withHolding(PREDECESSOR, new Holding(500_000, 0));
             rows.put(new RowKey(LeaseRows.ACCOUNTS, "", account), PrepaidRowCodec.write(row));
         }
         if (!accounts.isEmpty()) {
-            MarkRow row = new MarkRow(PREDECESSOR, 0, marks, Set.of(), 10_000);
-            rows.put(new RowKey(LeaseRows.MARKS, "", "box"), PrepaidRowCodec.writeMarks(row));
+            MarkRow row = new MarkRow(PREDECESSOR, 0, usageCaps, Set.of(), 10_000);
+            rows.put(new RowKey(LeaseRows.USAGE_CAPS, "", "box"), PrepaidRowCodec.writeUsageCaps(row));
         }
     }
 
@@ -323,7 +331,7 @@
 
     private void advanceUntilAWriteBegins() {
         int before = rows.writes.size();
-        for (int millis = 0; rows.writes.size() == before && millis < LONGEST_PAUSE_MILLIS; millis++) {
+        for (int millis = 0; rows.writes.size() == before && millis < MAX_WRITE_PAUSE_MILLIS; millis++) {
             advance(1);
         }
         assertThat(rows.writes).hasSizeGreaterThan(before);
@@ -337,16 +345,16 @@
         }
     }
 
-    /** Lend all that is asked for, once they are connected. */
-    private final class Neighbours implements Lenders {
+    /** Lenders that lend all requested tokens while they are connected. */
+    private final class TestLenders implements Lenders {
         private boolean connected;
         private long tokens = Long.MAX_VALUE;
-        private boolean standsStill;
+        private boolean paused;
         private OptionalLong answersAfterMillis = OptionalLong.empty();
 
         @Override
         public void ask(String account, LongSupplier lacking, LongConsumer lent, Consumer<Answers> atEnd) {
-            if (standsStill) {
+            if (paused) {
                 answersAfterMillis.ifPresent(
                         millis -> loop.schedule(() -> lent.accept(lacking.getAsLong()), millis, TimeUnit.MILLISECONDS));
                 Answers none = new Answers(1, 0, false, false);
@@ -367,7 +375,7 @@
 
         @Override
         public void giveBack(String account, long tokens) {
-            throw new IllegalStateException("nobody is there");
+            throw new IllegalStateException("no lender is connected");
         }
     }
 
@@ -379,7 +387,7 @@
 
         @Override
         public void note(Set<String> witnesses, Map<String, Long> tokens, Consumer<String> acknowledged) {
-            throw new IllegalStateException("nobody is there");
+            throw new IllegalStateException("no witness is connected");
         }
 
         @Override
@@ -389,7 +397,7 @@
 
         @Override
         public void ask(String witness, String incarnation, BiConsumer<String, Map<String, Long>> answered) {
-            throw new IllegalStateException("nobody is there");
+            throw new IllegalStateException("no witness is connected");
         }
     }
 }
