--- a/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
+++ b/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
@@ -25,7 +25,7 @@
 import org.streamring.net.peer.PeerListener;
 import org.streamring.net.peer.PeerServer;
 
-/** Connections to some of the other entries, and the frames that come over them. Confined to the event loop. */
+/** Maintains connections to other entries and passes on the frames that are received. Confined to the event loop. */
 public final class EntryPeers {
     private final EventLoopGroup loops;
     private final InetSocketAddress address;
@@ -42,11 +42,11 @@
     private MemberRegister.Others members = new MemberRegister.Others(List.of(), List.of());
 
     /**
-     * Creates one without connections.
+     * Creates an instance without connections.
      *
-     * @param address where this entry listens for others
-     * @param own who this entry is
-     * @param homes which entries hold leases, which all others must reach
+     * @param address address on which this entry accepts connections of other entries
+     * @param own identity of this entry
+     * @param homes home entries, which hold leases and to which every other entry must be connected
      */
     public EntryPeers(
             EventLoopGroup loops,
@@ -67,28 +67,28 @@
         this.keyRow = new FleetKeyRow(loop, store);
     }
 
-    /** Hears frames of other entries. */
+    /** Receives frames of other entries. */
     public interface FrameListener {
-        /** A frame arrived; either side of a connection asks and answers on it, whoever made it. */
+        /** Called for each frame. Both sides of a connection send queries and answers, whichever side opened it. */
         void received(PeerConnection connection, Frame frame);
     }
 
-    /** Adds one who hears frames. */
+    /** Adds a listener for received frames. */
     public void listen(FrameListener listener) {
         listeners.add(listener);
     }
 
-    /** One connection to each connected entry, by its name. */
+    /** Returns one connection to each connected entry, by the entry's name. */
     Map<String, PeerConnection> byEntry() {
         Map<String, PeerConnection> byEntry = new HashMap<>();
         connections.forEach(each -> byEntry.put(each.remote().name(), each));
         return byEntry;
     }
 
-    /** One connection to each entry that hears of this one's load. */
-    List<PeerConnection> toldOfLoad() {
+    /** Returns one connection to each entry to which this entry reports its load. */
+    List<PeerConnection> loadReportTargets() {
         Map<String, PeerConnection> byEntry = byEntry();
-        return choice.toldOfLoad(byEntry.keySet(), homes.holders()).stream()
+        return choice.loadReportTargets(byEntry.keySet(), homes.holders()).stream()
                 .map(byEntry::get)
                 .toList();
     }
@@ -98,22 +98,22 @@
         byEntry().values().forEach(peer -> peer.send(frame));
     }
 
-    /** Entries to which a connection is open. */
+    /** Returns the number of entries to which a connection is open. */
     public int connected() {
         return byEntry().size();
     }
 
-    /** Names of the entries to which a connection is open. */
+    /** Returns the names of the entries to which a connection is open. */
     public Set<String> connectedEntries() {
         return byEntry().keySet();
     }
 
-    /** The fleet's key; empty until it was read from the store. */
+    /** Returns the key of the fleet, or empty until it has been read from the store. */
     public Optional<FleetKey> key() {
         return Optional.ofNullable(key);
     }
 
-    /** Starts to listen and to connect, once the fleet's key is known. */
+    /** Fetches the key of the fleet, then starts listening and connecting. */
     public void start() {
         keyRow.fetch(fetched -> {
             key = fetched;
@@ -123,48 +123,51 @@
     }
 
     private void listen(FleetKey fetched) {
-        PeerServer.open(loops, address, fetched, own, new Links()).addListener(done -> {
+        PeerServer.open(loops, address, fetched, own, new ConnectionListener()).addListener(done -> {
             if (!done.isSuccess()) {
                 log.line("peers_not_listening", "address", address, "reason", String.valueOf(done.cause()));
             }
         });
     }
 
-    /** Takes the addresses of the other entries; absent ones are tried too, as they may be back unheard of. */
+    /**
+     * Sets the addresses of the other entries. Connections to absent entries are tried too, because these may have
+     * restarted before the member list shows it.
+     */
     public void members(MemberRegister.Others others) {
         members = others;
         connect();
     }
 
     private void connect() {
-        FleetKey known = key;
-        if (known == null) {
+        FleetKey fleetKey = key;
+        if (fleetKey == null) {
             return;
         }
-        List<InetSocketAddress> wanted = chosen();
+        List<InetSocketAddress> targets = connectionAddresses();
         connectors.entrySet().removeIf(entry -> {
-            boolean gone = !wanted.contains(entry.getKey());
+            boolean gone = !targets.contains(entry.getKey());
             if (gone) {
                 entry.getValue().stop();
             }
             return gone;
         });
-        for (InetSocketAddress peer : wanted) {
+        for (InetSocketAddress peer : targets) {
             connectors.computeIfAbsent(peer, to -> {
-                PeerConnector connector = new PeerConnector(loops, to, known, own, new Links());
+                PeerConnector connector = new PeerConnector(loops, to, fleetKey, own, new ConnectionListener());
                 connector.start();
                 return connector;
             });
         }
     }
 
-    private List<InetSocketAddress> chosen() {
-        return choice.connectedTo(members, homes.holders()).stream()
+    private List<InetSocketAddress> connectionAddresses() {
+        return choice.connectionTargets(members, homes.holders()).stream()
                 .map(MemberRegister.Member::address)
                 .toList();
     }
 
-    private final class Links implements PeerListener {
+    private final class ConnectionListener implements PeerListener {
         @Override
         public void connected(PeerConnection connection) {
             connections.add(connection);
--- a/direct/src/main/java/org/streamring/direct/peer/FleetKeyRow.java
+++ b/direct/src/main/java/org/streamring/direct/peer/FleetKeyRow.java
@@ -12,11 +12,14 @@
 import org.streamring.kernel.store.StoredRow;
 import org.streamring.net.peer.FleetKey;
 
-/** The key that entries prove to each other; the first one to need it writes a random one to the store. */
+/**
+ * Fetches the key of the fleet, which entries use to authenticate to each other. The first entry that needs the key
+ * writes a random one to the store.
+ */
 final class FleetKeyRow {
     private static final RowKey KEY = new RowKey("streamring-fleet", "", "key");
-    private static final long RETRY_MILLIS = 300;
-    private static final int BYTES = 32;
+    private static final long RETRY_DELAY_MILLIS = 300;
+    private static final int KEY_BYTES = 32;
 
     private final EventLoop loop;
     private final RowStore store;
@@ -26,40 +29,40 @@
         this.store = store;
     }
 
-    /** Reads or creates the key, trying until the store answers. */
+    /** Reads or creates the key, and retries until the store answers. */
     void fetch(Consumer<FleetKey> then) {
         store.list(KEY.table(), KEY.partition()).whenComplete((page, failure) -> {
             if (failure != null) {
-                later(then);
+                retryLater(then);
             } else if (page.rows().isEmpty()) {
                 create(then);
             } else {
-                found(page.rows(), then);
+                acceptKey(page.rows(), then);
             }
         });
     }
 
     private void create(Consumer<FleetKey> then) {
-        byte[] secret = new byte[BYTES];
+        byte[] secret = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(secret);
         String text = HexFormat.of().formatHex(secret);
         store.commit(List.of(new RowChange(KEY, 0, text))).whenComplete((result, failure) -> {
             if (failure == null && !result.committed()) {
-                found(result.current(), then);
+                acceptKey(result.current(), then);
             } else {
-                later(then);
+                retryLater(then);
             }
         });
     }
 
-    private void found(List<StoredRow> rows, Consumer<FleetKey> then) {
+    private void acceptKey(List<StoredRow> rows, Consumer<FleetKey> then) {
         rows.stream()
                 .filter(row -> row.key().equals(KEY) && !row.value().isEmpty())
                 .findFirst()
-                .ifPresentOrElse(row -> then.accept(new FleetKey(row.value())), () -> later(then));
+                .ifPresentOrElse(row -> then.accept(new FleetKey(row.value())), () -> retryLater(then));
     }
 
-    private void later(Consumer<FleetKey> then) {
-        loop.schedule(() -> fetch(then), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+    private void retryLater(Consumer<FleetKey> then) {
+        loop.schedule(() -> fetch(then), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/peer/PeerChoice.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PeerChoice.java
@@ -13,23 +13,30 @@
 import org.streamring.kernel.routing.RendezvousHash;
 
 /**
- * Which other entries this one connects to, and which it tells of its load. Chosen by the hash of its own name, so that
- * the choice stays as entries come and go, and others choose differently.
+ * Selects the entries to which this entry connects and those to which it reports its load. Entries are ordered by
+ * rendezvous hash of this entry's name, so that the selection is stable when entries join or leave, and differs between
+ * entries.
  */
 final class PeerChoice {
-    /** Connections that an entry makes; as many again come from others, and one from every entry to a holder. */
-    static final int MOST_CONNECTED = AccountHomes.ALL_CONNECTED;
+    /**
+     * Maximum number of connections that an entry opens. Other entries open about as many to it, and every entry opens
+     * one to each holder of leases.
+     */
+    static final int MAX_CONNECTIONS = AccountHomes.ALL_CONNECTED;
 
-    /** Frames that a report or a long prompt costs; they must not grow with the fleet. */
-    static final int MOST_TOLD = AccountHomes.ALL_CONNECTED;
+    /** Maximum number of frames per load report or long prompt, so that they do not grow with the fleet. */
+    static final int MAX_LOAD_REPORT_TARGETS = AccountHomes.ALL_CONNECTED;
 
-    /** All are connected to the holders; told by all, one of 24 before 300 entries would hear 500 reports a second. */
-    static final int HOLDERS_TOLD = 4;
+    /**
+     * Maximum number of holders among the targets. All entries are connected to the holders. If all of 300 entries
+     * reported to each of 24 holders, a holder would receive 500 reports per second.
+     */
+    static final int MAX_HOLDER_TARGETS = 4;
 
     private final String own;
 
     /**
-     * Creates one.
+     * Creates a selection for an entry.
      *
      * @param own name of this entry
      */
@@ -37,30 +44,35 @@
         this.own = own;
     }
 
-    /** Entries to connect to, holders of leases first; absent ones last, as they may be back unheard of. */
-    List<Member> connectedTo(Others others, Set<String> holders) {
+    /**
+     * Returns the entries to connect to: holders of leases first, absent entries last. Absent entries are included
+     * because they may have restarted before the member list shows it.
+     */
+    List<Member> connectionTargets(Others others, Set<String> holders) {
         Stream<Member> live = Stream.concat(
-                ordered(others.live(), each -> holders.contains(each.name())),
-                ordered(others.live(), each -> !holders.contains(each.name())));
-        return Stream.concat(live, ordered(others.absent(), each -> true))
-                .limit(MOST_CONNECTED)
+                orderedByHash(others.live(), each -> holders.contains(each.name())),
+                orderedByHash(others.live(), each -> !holders.contains(each.name())));
+        return Stream.concat(live, orderedByHash(others.absent(), each -> true))
+                .limit(MAX_CONNECTIONS)
                 .toList();
     }
 
-    /** Names of the connected entries that hear of this one's load. */
-    List<String> toldOfLoad(Collection<String> connected, Set<String> holders) {
-        if (connected.size() <= MOST_TOLD) {
+    /** Returns the names of the connected entries to which this entry reports its load. */
+    List<String> loadReportTargets(Collection<String> connected, Set<String> holders) {
+        if (connected.size() <= MAX_LOAD_REPORT_TARGETS) {
             return List.copyOf(connected);
         }
         List<String> order = RendezvousHash.order(own, connected);
-        Stream<String> told = order.stream().filter(holders::contains).limit(HOLDERS_TOLD);
+        Stream<String> holderTargets = order.stream().filter(holders::contains).limit(MAX_HOLDER_TARGETS);
         Stream<String> others = order.stream().filter(name -> !holders.contains(name));
-        return Stream.concat(told, others).limit(MOST_TOLD).toList();
+        return Stream.concat(holderTargets, others)
+                .limit(MAX_LOAD_REPORT_TARGETS)
+                .toList();
     }
 
-    private Stream<Member> ordered(List<Member> members, Predicate<Member> which) {
+    private Stream<Member> orderedByHash(List<Member> members, Predicate<Member> condition) {
         Map<String, Member> byName = new HashMap<>();
-        members.stream().filter(which).forEach(each -> byName.put(each.name(), each));
+        members.stream().filter(condition).forEach(each -> byName.put(each.name(), each));
         return RendezvousHash.order(own, byName.keySet()).stream().map(byName::get);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
@@ -19,12 +19,15 @@
 import org.streamring.net.generated.Wire.PermitAnswer;
 import org.streamring.net.peer.PeerConnection;
 
-/** Carries the questions of {@link PermitDesk} over the connections between entries. Confined to the event loop. */
+/**
+ * Sends permit requests of {@link PermitDesk}, their answers and limit updates between entries. Confined to the event
+ * loop.
+ */
 public final class PermitExchange implements PermitLink {
-    /** Who lives and is reached is looked at so often. */
-    private static final long TICK_MILLIS = 250;
+    /** Interval at which the live and the connected entries are updated. */
+    private static final long UPDATE_INTERVAL_MILLIS = 250;
 
-    private static final long USE_MILLIS = 4_000;
+    private static final long USAGE_INTERVAL_MILLIS = 4_000;
 
     private final EventLoop loop;
     private final EntryPeers peers;
@@ -32,15 +35,15 @@
     private final LongSupplier clock;
     private final EntryMetrics metrics;
     private final DecisionLog log;
-    private final PermitDesk desk;
-    private long useSinceMillis;
+    private final PermitDesk coordinator;
+    private long usageSinceMillis;
 
     /**
-     * Creates one; nothing is asked or answered before {@link #start}.
+     * Creates an exchange; no request is sent or answered before {@link #start}.
      *
      * @param own name of this entry
-     * @param owners entries that are known to live and may own permits; none while they are not known
-     * @param events told what is believed of the servers' limits
+     * @param owners names of live entries, which may own permits; empty while they are unknown
+     * @param events receives changes of the assumed limits of the backend servers
      */
     public PermitExchange(
             EventLoop loop,
@@ -57,66 +60,72 @@
         this.clock = clock;
         this.metrics = metrics;
         this.log = log;
-        this.desk = new PermitDesk(own, this, events);
+        this.coordinator = new PermitDesk(own, this, events);
     }
 
-    /** This entry's part in dividing the limits. */
+    /** Returns the coordinator that divides the limits of backend servers between this entry and the others. */
     public PermitDesk desk() {
-        return desk;
+        return coordinator;
     }
 
-    /** Starts to ask and to answer. */
+    /** Starts sending and answering requests. */
     public void start() {
         peers.listen(this::received);
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::updateEntries, UPDATE_INTERVAL_MILLIS, UPDATE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void tick() {
+    private void updateEntries() {
         long now = clock.getAsLong();
-        desk.entries(owners.get(), peers.connectedEntries(), now);
-        if (now - useSinceMillis >= USE_MILLIS) {
-            desk.takeUse(useSinceMillis, now).forEach(metrics::limitUsed);
-            useSinceMillis = now;
+        coordinator.entries(owners.get(), peers.connectedEntries(), now);
+        if (now - usageSinceMillis >= USAGE_INTERVAL_MILLIS) {
+            coordinator.takeUse(usageSinceMillis, now).forEach(metrics::limitUsed);
+            usageSinceMillis = now;
         }
     }
 
     @Override
     public void ask(String entry, long number, PermitAsk ask) {
-        Wire.PermitAsk question = Wire.PermitAsk.newBuilder()
+        Wire.PermitAsk request = Wire.PermitAsk.newBuilder()
                 .setQuery(number)
                 .setNews(encode(ask.news()))
                 .setWanted(ask.wanted())
                 .build();
-        send(entry, Frame.newBuilder().setPermitAsk(question).build());
+        send(entry, Frame.newBuilder().setPermitAsk(request).build());
         loop.schedule(
-                () -> desk.goOnWithUnanswered(clock.getAsLong()), PermitDesk.TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                () -> coordinator.goOnWithUnanswered(clock.getAsLong()),
+                PermitDesk.TIMEOUT_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public void tell(String entry, LimitNews news) {
-        send(entry, Frame.newBuilder().setLimitNews(encode(news)).build());
+    public void tell(String entry, LimitNews update) {
+        send(entry, Frame.newBuilder().setLimitNews(encode(update)).build());
     }
 
-    private static Wire.LimitNews encode(LimitNews news) {
+    private static Wire.LimitNews encode(LimitNews update) {
         return Wire.LimitNews.newBuilder()
-                .setIncarnation(news.incarnation())
-                .setPerSecond(news.perSecond())
-                .setSentAgeMillis(news.sentAgeMillis())
-                .setHeardAgeMillis(news.heardAgeMillis())
+                .setIncarnation(update.incarnation())
+                .setPerSecond(update.perSecond())
+                .setSentAgeMillis(update.sentAgeMillis())
+                .setHeardAgeMillis(update.heardAgeMillis())
                 .build();
     }
 
-    private Optional<LimitNews> decode(PeerConnection connection, Wire.LimitNews told) {
-        LimitNews news = new LimitNews(
-                told.getIncarnation(), told.getPerSecond(), told.getSentAgeMillis(), told.getHeardAgeMillis());
-        if (news.isReadable()) {
-            return Optional.of(news);
+    private Optional<LimitNews> decode(PeerConnection connection, Wire.LimitNews message) {
+        LimitNews update = new LimitNews(
+                message.getIncarnation(),
+                message.getPerSecond(),
+                message.getSentAgeMillis(),
+                message.getHeardAgeMillis());
+        if (update.isReadable()) {
+            return Optional.of(update);
         }
         log.line("frame_unreadable", "peer", connection.remote().name());
         return Optional.empty();
     }
 
-    /** A frame that can't be sent is like one that is lost: its question isn't answered in time. */
+    /** Sends a frame. If the entry is not connected, the request times out as if the frame were lost. */
     private void send(String entry, Frame frame) {
         Optional.ofNullable(peers.byEntry().get(entry)).ifPresent(peer -> peer.send(frame));
     }
@@ -128,26 +137,26 @@
         }
         if (frame.hasPermitAnswer()) {
             PermitAnswer answer = frame.getPermitAnswer();
-            desk.granted(
+            coordinator.granted(
                     answer.getQuery(),
                     new PermitGrant(Math.max(0, answer.getGranted()), Math.max(0, answer.getWaitMillis())),
                     now);
         }
         if (frame.hasLimitNews()) {
             decode(connection, frame.getLimitNews())
-                    .ifPresent(news -> desk.told(connection.remote().name(), news, now));
+                    .ifPresent(update -> coordinator.told(connection.remote().name(), update, now));
         }
     }
 
-    private void answer(PeerConnection connection, Wire.PermitAsk asked, long now) {
-        Optional<LimitNews> news = decode(connection, asked.getNews());
-        if (news.isEmpty()) {
+    private void answer(PeerConnection connection, Wire.PermitAsk request, long now) {
+        Optional<LimitNews> update = decode(connection, request.getNews());
+        if (update.isEmpty()) {
             return;
         }
-        PermitAsk ask = new PermitAsk(news.get(), Math.max(1, asked.getWanted()));
-        PermitGrant grant = desk.asked(connection.remote().name(), ask, now);
+        PermitAsk ask = new PermitAsk(update.get(), Math.max(1, request.getWanted()));
+        PermitGrant grant = coordinator.asked(connection.remote().name(), ask, now);
         PermitAnswer answer = PermitAnswer.newBuilder()
-                .setQuery(asked.getQuery())
+                .setQuery(request.getQuery())
                 .setGranted(grant.count())
                 .setWaitMillis(grant.waitMillis())
                 .build();
--- a/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
@@ -24,38 +24,39 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Tells the other entries what this one has in progress at replicas, and takes what they tell. Confined to the event
- * loop.
+ * Reports to other entries which requests of this entry are in progress at replicas, and receives their reports.
+ * Confined to the event loop.
  */
 public final class PlacementExchange {
     /**
-     * A fleet of four tells each other ten times a second; larger ones more rarely, so that the frames stay few. No
-     * more than {@link PeerChoice#MOST_TOLD} are told, so that once a second is enough for any fleet.
+     * Report interval per entry. Entries of a fleet of four report ten times per second, those of larger fleets less
+     * often to limit the number of frames. Each entry reports to at most {@link PeerChoice#MAX_LOAD_REPORT_TARGETS}
+     * entries, so that one report per second is the lowest rate in any fleet.
      */
-    private static final long MILLIS_PER_ENTRY = 25;
+    private static final long INTERVAL_MILLIS_PER_ENTRY = 25;
 
-    /** What was told this many intervals ago is no longer true. */
-    private static final int INTERVALS_KEPT = 5;
+    /** Number of intervals after which the last report of an entry is outdated. */
+    private static final int MAX_REPORT_AGE_INTERVALS = 5;
 
     private final EventLoop loop;
     private final EntryPeers peers;
     private final PlacementTable table;
     private final IntSupplier entries;
     private final ToLongFunction<String> memoryOf;
-    private final LinkPace link;
-    private final ReportPace pace;
+    private final LinkPace linkBacklog;
+    private final ReportPace rateLimiter;
     private final LongSupplier clock;
-    private final Map<String, Long> heardMillis = new HashMap<>();
-    private boolean toldNothing;
-    private boolean tellingSoon;
+    private final Map<String, Long> lastReportMillis = new HashMap<>();
+    private boolean lastReportEmpty;
+    private boolean earlyReportScheduled;
 
     /**
-     * Creates one; nothing happens before {@link #start}.
+     * Creates an exchange; no report is sent or received before {@link #start}.
      *
-     * @param entries number of live entries
-     * @param memoryOf memory of a replica in tokens, by its identifier
-     * @param link told what the reports add to it
-     * @param pace when long prompts may be told early
+     * @param entries supplies the number of live entries
+     * @param memoryOf returns the memory of a replica in tokens, by the replica's identifier
+     * @param linkBacklog backlog of the network link, to which the bytes of the reports are added
+     * @param rateLimiter limits the rate of early reports of long prompts
      */
     public PlacementExchange(
             EventLoop loop,
@@ -63,78 +64,82 @@
             PlacementTable table,
             IntSupplier entries,
             ToLongFunction<String> memoryOf,
-            LinkPace link,
-            ReportPace pace,
+            LinkPace linkBacklog,
+            ReportPace rateLimiter,
             LongSupplier clock) {
         this.loop = loop;
         this.peers = peers;
         this.table = table;
         this.entries = entries;
         this.memoryOf = memoryOf;
-        this.link = link;
-        this.pace = pace;
+        this.linkBacklog = linkBacklog;
+        this.rateLimiter = rateLimiter;
         this.clock = clock;
     }
 
-    /** Starts to tell and to listen. */
+    /** Starts sending and receiving reports. */
     public void start() {
         peers.listen(this::received);
-        table.onLongPrompt(this::tellSoon);
+        table.onLongPrompt(this::reportSoon);
         scheduleNext();
     }
 
     private void scheduleNext() {
-        loop.schedule(this::tellRegularly, intervalMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::reportRegularly, intervalMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void tellRegularly() {
-        tell();
+    private void reportRegularly() {
+        sendReport();
         scheduleNext();
     }
 
-    /** Others would choose the same replica until they know; long prompts that come together share a report. */
-    private void tellSoon() {
-        if (!tellingSoon) {
-            tellingSoon = true;
-            loop.schedule(this::tellEarly, pace.waitMillis(clock.getAsLong()), TimeUnit.MILLISECONDS);
+    /**
+     * Schedules an early report, because other entries may choose the same replica until they receive it. Long prompts
+     * that arrive together share one report.
+     */
+    private void reportSoon() {
+        if (!earlyReportScheduled) {
+            earlyReportScheduled = true;
+            loop.schedule(this::reportEarly, rateLimiter.waitMillis(clock.getAsLong()), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A regular report may have told it meanwhile. */
-    private void tellEarly() {
-        if (tellingSoon) {
-            tell();
+    /** Sends the early report, unless a regular report has been sent in the meantime. */
+    private void reportEarly() {
+        if (earlyReportScheduled) {
+            sendReport();
         }
     }
 
     private long intervalMillis() {
-        return MILLIS_PER_ENTRY * Math.max(1, Math.min(PeerChoice.MOST_TOLD, entries.getAsInt()));
+        return INTERVAL_MILLIS_PER_ENTRY
+                * Math.max(1, Math.min(PeerChoice.MAX_LOAD_REPORT_TARGETS, entries.getAsInt()));
     }
 
-    private void tell() {
-        tellingSoon = false;
+    private void sendReport() {
+        earlyReportScheduled = false;
         PlacementReport report = table.report(clock.getAsLong());
-        boolean nothing = report.shares().isEmpty() && report.prompts().isEmpty();
-        if (!nothing || !toldNothing) {
-            tellAll(Frame.newBuilder().setPlacementLoad(encode(report)).build());
+        boolean empty = report.shares().isEmpty() && report.prompts().isEmpty();
+        if (!empty || !lastReportEmpty) {
+            sendToTargets(Frame.newBuilder().setPlacementLoad(encode(report)).build());
         }
-        toldNothing = nothing;
-        forgetSilent();
+        lastReportEmpty = empty;
+        removeSilentEntries();
     }
 
-    /** A report that is lost is made good by the next. */
-    private void tellAll(Frame frame) {
-        List<PeerConnection> told = peers.toldOfLoad();
-        told.forEach(each -> each.send(frame));
-        long bytes = (long) frame.getSerializedSize() * told.size();
-        pace.told(bytes, clock.getAsLong());
-        link.written(Traffic.REPORTS, bytes, clock.getAsLong());
+    /** Sends a frame to all targets of load reports. A lost report is replaced by the next one. */
+    private void sendToTargets(Frame frame) {
+        List<PeerConnection> targets = peers.loadReportTargets();
+        targets.forEach(each -> each.send(frame));
+        long bytes = (long) frame.getSerializedSize() * targets.size();
+        rateLimiter.told(bytes, clock.getAsLong());
+        linkBacklog.written(Traffic.REPORTS, bytes, clock.getAsLong());
     }
 
-    private void forgetSilent() {
-        long oldest = clock.getAsLong() - INTERVALS_KEPT * intervalMillis();
-        heardMillis.entrySet().removeIf(entry -> {
-            boolean silent = entry.getValue() < oldest;
+    private void removeSilentEntries() {
+        long oldestMillis = clock.getAsLong() - MAX_REPORT_AGE_INTERVALS * intervalMillis();
+        lastReportMillis.entrySet().removeIf(entry -> {
+            boolean silent = entry.getValue() < oldestMillis;
             if (silent) {
                 table.forget(entry.getKey());
             }
@@ -145,12 +150,12 @@
     private void received(PeerConnection connection, Frame frame) {
         if (frame.hasPlacementLoad()) {
             String entry = connection.remote().name();
-            heardMillis.put(entry, clock.getAsLong());
+            lastReportMillis.put(entry, clock.getAsLong());
             table.reported(entry, decode(frame.getPlacementLoad()), memoryOf, clock.getAsLong());
         }
     }
 
-    /** A report as a frame. */
+    /** Encodes a report. */
     static PlacementLoad encode(PlacementReport report) {
         PlacementLoad.Builder load = PlacementLoad.newBuilder();
         report.shares()
@@ -170,7 +175,7 @@
         return prompt.build();
     }
 
-    /** The report in a frame. */
+    /** Decodes a report. */
     static PlacementReport decode(PlacementLoad load) {
         Map<String, ReplicaShare> shares = new HashMap<>();
         load.getReplicasList()
--- a/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
+++ b/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
@@ -27,14 +27,14 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Entries lend tokens to each other over their connections.
+ * Borrows tokens from other entries, and answers their loan requests, over the connections between entries.
  *
- * <p>Tokens of an answer that is lost count as used by the lender. Confined to the event loop.
+ * <p>If an answer is lost, its tokens count as used by the lender. Confined to the event loop.
  */
 public final class TokenLending implements Lenders {
-    private static final int MOST_ASKED = 4;
-    private static final long ANSWER_MILLIS = 60;
-    private static final long LATE_MILLIS = 5_000;
+    private static final int MAX_LENDERS_ASKED = 4;
+    private static final long ANSWER_TIMEOUT_MILLIS = 60;
+    private static final long LATE_ANSWER_MILLIS = 5_000;
 
     private final EventLoop loop;
     private final EntryPeers peers;
@@ -42,14 +42,14 @@
     private final Random random;
     private final EntryMetrics metrics;
     private final DecisionLog log;
-    private final Map<Long, Query> asked = new HashMap<>();
+    private final Map<Long, LoanQuery> openQueries = new HashMap<>();
     private @Nullable Lender lender;
-    private long nextQuery;
+    private long nextQueryId;
 
     /**
-     * Creates one; nothing is lent before {@link #start}.
+     * Creates an instance; no tokens are lent before {@link #start}.
      *
-     * @param homes which entries hold an account's leases
+     * @param homes home entries, which hold the leases of an account
      */
     public TokenLending(
             EventLoop loop,
@@ -66,7 +66,7 @@
         this.log = log;
     }
 
-    /** Starts to answer others. */
+    /** Starts answering loan requests of other entries. */
     public void start(Lender ownLender) {
         lender = ownLender;
         peers.listen(this::received);
@@ -74,7 +74,7 @@
 
     @Override
     public void ask(String account, LongSupplier lacking, LongConsumer lent, Consumer<Answers> atEnd) {
-        new Round(account, lacking, lent, atEnd).askNext();
+        new LoanRound(account, lacking, lent, atEnd).askNext();
     }
 
     @Override
@@ -102,13 +102,16 @@
                 .toList());
     }
 
-    /** Home entries of the account first, in any order, so that they share its demand; then others. */
+    /**
+     * Returns the entries to ask: home entries of the account first, then others. Both groups are shuffled, so that the
+     * home entries share the demand.
+     */
     private List<PeerConnection> lenders(String account) {
         Map<String, PeerConnection> byEntry = peers.byEntry();
         List<PeerConnection> order = connectedHomes(account);
         homes.of(account).forEach(byEntry::remove);
         order.addAll(shuffled(byEntry.values()));
-        return order.subList(0, Math.min(MOST_ASKED, order.size()));
+        return order.subList(0, Math.min(MAX_LENDERS_ASKED, order.size()));
     }
 
     private List<PeerConnection> shuffled(Collection<PeerConnection> entries) {
@@ -117,51 +120,51 @@
         return order;
     }
 
-    /** The questions for one request, one lender after the other. */
-    private final class Round {
+    /** Loan queries for one request, which are sent to one lender after the other. */
+    private final class LoanRound {
         private final String account;
         private final LongSupplier lacking;
         private final LongConsumer lent;
         private final Consumer<Answers> atEnd;
-        private final Deque<PeerConnection> left;
-        private int askedSoFar;
-        private int answeredInTime;
+        private final Deque<PeerConnection> remainingLenders;
+        private int askedCount;
+        private int answeredCount;
         private boolean homeAnswered;
         private boolean moreSoon;
 
-        private Round(String account, LongSupplier lacking, LongConsumer lent, Consumer<Answers> atEnd) {
+        private LoanRound(String account, LongSupplier lacking, LongConsumer lent, Consumer<Answers> atEnd) {
             this.account = account;
             this.lacking = lacking;
             this.lent = lent;
             this.atEnd = atEnd;
-            this.left = new ArrayDeque<>(lenders(account));
+            this.remainingLenders = new ArrayDeque<>(lenders(account));
         }
 
         private void askNext() {
             long tokens = lacking.getAsLong();
-            PeerConnection next = tokens > 0 ? left.pollFirst() : null;
+            PeerConnection next = tokens > 0 ? remainingLenders.pollFirst() : null;
             if (next == null) {
-                atEnd.accept(new Answers(askedSoFar, answeredInTime, homeAnswered, moreSoon));
+                atEnd.accept(new Answers(askedCount, answeredCount, homeAnswered, moreSoon));
                 return;
             }
-            askedSoFar++;
-            long number = nextQuery++;
+            askedCount++;
+            long queryId = nextQueryId++;
             boolean home = homes.of(account).contains(next.remote().name());
-            asked.put(number, new Query(loan -> answered(home, loan), this::askNext));
-            loop.schedule(() -> goOn(number), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
-            loop.schedule(() -> asked.remove(number), LATE_MILLIS, TimeUnit.MILLISECONDS);
+            openQueries.put(queryId, new LoanQuery(loan -> answered(home, loan), this::askNext));
+            loop.schedule(() -> continueRound(queryId), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> openQueries.remove(queryId), LATE_ANSWER_MILLIS, TimeUnit.MILLISECONDS);
             LendAsk ask = LendAsk.newBuilder()
-                    .setQuery(number)
+                    .setQuery(queryId)
                     .setAccount(account)
                     .setTokens(tokens)
                     .build();
             if (!next.send(Frame.newBuilder().setLendAsk(ask).build())) {
-                goOn(number);
+                continueRound(queryId);
             }
         }
 
         private void answered(boolean home, Loan loan) {
-            answeredInTime++;
+            answeredCount++;
             homeAnswered |= home;
             moreSoon |= home && loan.moreSoon();
             if (loan.tokens() > 0) {
@@ -170,28 +173,28 @@
         }
     }
 
-    private void goOn(long number) {
-        Query query = asked.get(number);
-        if (query != null && query.goOnOnce()) {
+    private void continueRound(long queryId) {
+        LoanQuery query = openQueries.get(queryId);
+        if (query != null && query.continueOnce()) {
             metrics.lenderAsked(false);
         }
     }
 
-    /** A question that was sent; tokens that come after the next one was sent are taken as well. */
-    private static final class Query {
+    /** Loan query that was sent. Tokens that arrive after the next query was sent are accepted as well. */
+    private static final class LoanQuery {
         private final Consumer<Loan> answered;
         private final Runnable next;
-        private boolean goneOn;
+        private boolean continued;
 
-        private Query(Consumer<Loan> answered, Runnable next) {
+        private LoanQuery(Consumer<Loan> answered, Runnable next) {
             this.answered = answered;
             this.next = next;
         }
 
-        /** Goes on; tells whether that had not happened before. */
-        private boolean goOnOnce() {
-            boolean first = !goneOn;
-            goneOn = true;
+        /** Continues with the next lender at the first call, and returns whether this was the first call. */
+        private boolean continueOnce() {
+            boolean first = !continued;
+            continued = true;
             if (first) {
                 next.run();
             }
@@ -214,10 +217,10 @@
     }
 
     private void answered(LendAnswer answer) {
-        Query query = asked.remove(answer.getQuery());
+        LoanQuery query = openQueries.remove(answer.getQuery());
         if (query != null) {
             query.answered.accept(new Loan(answer.getTokens(), answer.getMoreSoon()));
-            if (query.goOnOnce()) {
+            if (query.continueOnce()) {
                 metrics.lenderAsked(true);
             }
         }
--- a/direct/src/main/java/org/streamring/direct/peer/UseWitnesses.java
+++ b/direct/src/main/java/org/streamring/direct/peer/UseWitnesses.java
@@ -23,29 +23,33 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Entries witness for each other what they use while the store is silent. A note counts for the incarnation that the
- * connection's handshake proved. Confined to the event loop.
+ * Exchanges usage records with the witnesses of this entry, and keeps usage records of other entries. Records cover the
+ * use of tokens during a store outage. Each one is attributed to the incarnation that the handshake of the connection
+ * authenticated. Confined to the event loop.
  */
 public final class UseWitnesses implements Witnesses {
-    /** One may die together with the entry; with more of them, more must be asked, and alive, later. */
-    private static final int NAMED = 2;
+    /**
+     * Two witnesses, because one may be lost together with the entry. With more, more of them would have to be alive
+     * and be queried later.
+     */
+    private static final int WITNESS_COUNT = 2;
 
-    private static final int MOST_UNACKNOWLEDGED = 1_000;
+    private static final int MAX_UNACKNOWLEDGED = 1_000;
 
     private final EntryPeers peers;
     private final String ownName;
-    private final WitnessNotes kept = new WitnessNotes();
-    private final Map<Long, Consumer<String>> sent = new TreeMap<>();
-    private final Map<String, BiConsumer<String, Map<String, Long>>> asked = new HashMap<>();
+    private final WitnessNotes keptRecords = new WitnessNotes();
+    private final Map<Long, Consumer<String>> pendingAcknowledgements = new TreeMap<>();
+    private final Map<String, BiConsumer<String, Map<String, Long>>> pendingQueries = new HashMap<>();
     private long nextNumber;
 
-    /** Creates one; nothing is noted before {@link #start}. */
+    /** Creates an instance; no usage record is kept before {@link #start}. */
     public UseWitnesses(EntryPeers peers, String ownName) {
         this.peers = peers;
         this.ownName = ownName;
     }
 
-    /** Starts to listen to other entries. */
+    /** Starts receiving frames of other entries. */
     public void start() {
         peers.listen(this::received);
     }
@@ -63,7 +67,7 @@
         RendezvousHash.order(ownName, connected.keySet()).stream()
                 .map(connected::get)
                 .filter(incarnation -> !chosen.contains(incarnation))
-                .limit(Math.max(0, NAMED - chosen.size()))
+                .limit(Math.max(0, WITNESS_COUNT - chosen.size()))
                 .toList()
                 .forEach(chosen::add);
         return chosen;
@@ -74,7 +78,7 @@
         for (String witness : witnesses) {
             connection(witness).ifPresent(peer -> {
                 long number = nextNumber++;
-                sent.put(number, acknowledged);
+                pendingAcknowledgements.put(number, acknowledged);
                 UseNote note = UseNote.newBuilder()
                         .setNumber(number)
                         .addAllTokens(encode(tokens))
@@ -82,18 +86,18 @@
                 peer.send(Frame.newBuilder().setUseNote(note).build());
             });
         }
-        forgetOldNotes();
+        dropOldAcknowledgements();
     }
 
-    /** Acknowledgements that are missing by now only leave tokens unused. */
-    private void forgetOldNotes() {
-        sent.keySet().removeIf(number -> number < nextNumber - MOST_UNACKNOWLEDGED);
+    /** Stops waiting for old acknowledgements. A missing acknowledgement only leaves tokens unused. */
+    private void dropOldAcknowledgements() {
+        pendingAcknowledgements.keySet().removeIf(number -> number < nextNumber - MAX_UNACKNOWLEDGED);
     }
 
     @Override
     public void ask(String witness, String incarnation, BiConsumer<String, Map<String, Long>> answered) {
         connection(witness).ifPresent(peer -> {
-            asked.put(incarnation, answered);
+            pendingQueries.put(incarnation, answered);
             UseQuery query = UseQuery.newBuilder().setIncarnation(incarnation).build();
             peer.send(Frame.newBuilder().setUseQuery(query).build());
         });
@@ -114,37 +118,38 @@
 
     private void received(PeerConnection connection, Frame frame) {
         if (frame.hasUseNote()) {
-            keep(connection, frame.getUseNote());
+            keepRecord(connection, frame.getUseNote());
         }
         if (frame.hasUseNoted()) {
-            Optional.ofNullable(sent.remove(frame.getUseNoted().getNumber()))
+            Optional.ofNullable(
+                            pendingAcknowledgements.remove(frame.getUseNoted().getNumber()))
                     .ifPresent(each -> each.accept(connection.remote().incarnation()));
         }
         if (frame.hasUseQuery()) {
-            report(connection, frame.getUseQuery().getIncarnation());
+            answerQuery(connection, frame.getUseQuery().getIncarnation());
         }
         if (frame.hasUseReport()) {
-            reported(connection.remote().incarnation(), frame.getUseReport());
+            passOnReport(connection.remote().incarnation(), frame.getUseReport());
         }
     }
 
-    private void keep(PeerConnection connection, UseNote note) {
-        if (kept.note(connection.remote().incarnation(), decode(note.getTokensList()))) {
+    private void keepRecord(PeerConnection connection, UseNote note) {
+        if (keptRecords.note(connection.remote().incarnation(), decode(note.getTokensList()))) {
             UseNoted noted = UseNoted.newBuilder().setNumber(note.getNumber()).build();
             connection.send(Frame.newBuilder().setUseNoted(noted).build());
         }
     }
 
-    private void report(PeerConnection connection, String incarnation) {
+    private void answerQuery(PeerConnection connection, String incarnation) {
         UseReport report = UseReport.newBuilder()
                 .setIncarnation(incarnation)
-                .addAllTokens(encode(kept.close(incarnation)))
+                .addAllTokens(encode(keptRecords.close(incarnation)))
                 .build();
         connection.send(Frame.newBuilder().setUseReport(report).build());
     }
 
-    private void reported(String witness, UseReport report) {
-        Optional.ofNullable(asked.get(report.getIncarnation()))
+    private void passOnReport(String witness, UseReport report) {
+        Optional.ofNullable(pendingQueries.get(report.getIncarnation()))
                 .ifPresent(each -> each.accept(witness, decode(report.getTokensList())));
     }
 
--- a/direct/src/main/java/org/streamring/direct/peer/package-info.java
+++ b/direct/src/main/java/org/streamring/direct/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Frames between entries. */
+/** Connections between entries and the frames that are sent over them. */
 @NullMarked
 package org.streamring.direct.peer;
 
--- a/direct/src/test/java/org/streamring/direct/peer/PeerChoiceTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/PeerChoiceTest.java
@@ -21,21 +21,21 @@
             .mapToObj(each -> new Member("entry-" + each, InetSocketAddress.createUnresolved("10.0.0.1", each)))
             .toList();
 
-    /** Chosen by the hash of their own name alone, 75 in 100 entries did not reach a given holder. */
+    /** When targets were selected by hash alone, 75 of 100 entries were not connected to a given holder. */
     @Test
-    public void everyEntryReachesEveryHolder() {
+    public void everyEntryConnectsToEveryHolder() {
         for (Member own : all) {
-            List<String> chosen = names(new PeerChoice(own.name()).connectedTo(others(own), HOLDERS));
+            List<String> chosen = names(new PeerChoice(own.name()).connectionTargets(others(own), HOLDERS));
             Set<String> holders = new HashSet<>(HOLDERS);
             holders.remove(own.name());
-            assertThat(chosen).containsAll(holders).hasSize(PeerChoice.MOST_CONNECTED);
+            assertThat(chosen).containsAll(holders).hasSize(PeerChoice.MAX_CONNECTIONS);
         }
     }
 
     @Test
-    public void whereAllCanBeConnectedAllAreTheAbsentOnesLast() {
+    public void connectsToAllEntriesOfASmallFleetWithAbsentOnesLast() {
         Others others = new Others(all.subList(1, 20), all.subList(20, 33));
-        List<String> chosen = names(new PeerChoice("entry-0").connectedTo(others, HOLDERS));
+        List<String> chosen = names(new PeerChoice("entry-0").connectionTargets(others, HOLDERS));
         assertThat(chosen).hasSize(32);
         assertThat(chosen.subList(0, 19))
                 .containsExactlyInAnyOrderElementsOf(
@@ -43,17 +43,17 @@
     }
 
     @Test
-    public void wordOfLoadGoesToAFewHoldersAndMostlyToOthers() {
+    public void loadReportsGoToAFewHoldersAndMostlyToOtherEntries() {
         Set<String> connected = all.stream().map(Member::name).collect(Collectors.toSet());
-        List<String> told = new PeerChoice("entry-1").toldOfLoad(connected, HOLDERS);
-        assertThat(told).hasSize(PeerChoice.MOST_TOLD);
-        assertThat(told.stream().filter(HOLDERS::contains).count()).isEqualTo(PeerChoice.HOLDERS_TOLD);
+        List<String> targets = new PeerChoice("entry-1").loadReportTargets(connected, HOLDERS);
+        assertThat(targets).hasSize(PeerChoice.MAX_LOAD_REPORT_TARGETS);
+        assertThat(targets.stream().filter(HOLDERS::contains).count()).isEqualTo(PeerChoice.MAX_HOLDER_TARGETS);
     }
 
     @Test
-    public void inAFleetWhereAllAreConnectedAllAreToldOfLoad() {
+    public void loadReportsGoToAllEntriesOfASmallFleet() {
         Set<String> connected = all.subList(1, 33).stream().map(Member::name).collect(Collectors.toSet());
-        assertThat(new PeerChoice("entry-0").toldOfLoad(connected, connected))
+        assertThat(new PeerChoice("entry-0").loadReportTargets(connected, connected))
                 .containsExactlyInAnyOrderElementsOf(connected);
     }
 
--- a/direct/src/test/java/org/streamring/direct/peer/PlacementExchangeTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/PlacementExchangeTest.java
@@ -12,7 +12,7 @@
 
 public class PlacementExchangeTest {
     @Test
-    public void aReportArrivesAsItWasSent() {
+    public void aReportIsUnchangedAfterEncodingAndDecoding() {
         PlacementReport report = new PlacementReport(
                 Map.of("i-1", new ReplicaShare(4, 12_000, 3.5, 0.25), "i-2", new ReplicaShare(1, 0, 1, 0)),
                 List.of(new PromptRead("i-1", List.of(new PromptPart("a", 2_000), new PromptPart("b", 3_000)))));
--- a/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
@@ -34,33 +34,27 @@
 import org.testng.annotations.Test;
 
 /**
- * Connections between entries that fall silent.
+ * Tests connections between entries on which the peer stops answering without closing them.
  *
- * <p>Symptom: on thirty entries requests for prepaid tokens were refused from one moment to the end, 30 to 39 in 100
- * were served instead of 95, while plain calls were served as before.
- *
- * <p>Sequence: all open connections fell silent without a reset. Entries that are no home of an account went on to
- * ask its homes over those connections, got no answer, and refused.
- *
- * <p>Cause: neither side sent anything of its own accord, and only three minutes of silence ended a connection, so an
- * idle connection could not be told from a dead one, and no new one was made.
- *
- * <p>Settled by: 7,285 of 7,286 {@code tokens_refused} lines said {@code lease_not_in_time} with free tokens in the
- * account; loans fell from hundreds in two seconds to none, and neither {@code peer_lost} nor {@code peer_connected}
- * came again.
+ * <p>Guards against this failure: in a fleet of 30 entries all open connections became silent without a reset. An entry
+ * that was no home entry of an account continued to ask its home entries over these connections, got no answer, and
+ * refused requests for prepaid tokens although the account had free tokens: 7,285 of 7,286 {@code tokens_refused} lines
+ * had the reason {@code lease_not_in_time}. Only 30 to 39 of 100 such requests were served instead of 95, while plain
+ * calls were not affected. Idle connections carried no traffic, and a connection was closed only after three minutes of
+ * silence, so that a dead one was not distinguished from an idle one and not replaced.
  */
 public class SilentPeersTest {
     private static final String ACCOUNT = "hotel";
     private static final long LOAN = 700;
-    /** A silence is noticed after 1.5 s; then come a pause, the connection and the handshake. */
-    private static final Duration MADE_ANEW = Duration.ofSeconds(3);
+    /** A silent connection is detected after 1.5 s. A pause, the new connection and its handshake follow. */
+    private static final Duration RECONNECT_TIMEOUT = Duration.ofSeconds(3);
 
     private NioEventLoopGroup loops;
     private Entry borrower;
     private Entry lender;
     private FaultProxy proxy;
 
-    /** One entry's connections and its lending. */
+    /** Connections and token lending of one entry. */
     private final class Entry {
         private final ByteArrayOutputStream log = new ByteArrayOutputStream();
         private final InetSocketAddress address;
@@ -110,7 +104,7 @@
         public void takeBack(String account, long tokens) {}
     }
 
-    /** A store that holds the fleet's key only. */
+    /** Store that contains only the key of the fleet. */
     private static final class KeyStore implements RowStore {
         private static final StoredRow KEY =
                 new StoredRow(new RowKey("streamring-fleet", "", "key"), "a-key-of-the-fleet-for-tests", 1, false);
@@ -150,25 +144,25 @@
     }
 
     @Test
-    public void anEntryBorrowsAgainSoonAfterItsOpenConnectionsFellSilent() {
+    public void anEntryBorrowsAgainSoonAfterItsOpenConnectionsBecameSilent() {
         proxy.silenceOpenConnections();
 
-        Awaitility.await().atMost(MADE_ANEW).until(() -> borrower.borrow() == LOAN);
+        Awaitility.await().atMost(RECONNECT_TIMEOUT).until(() -> borrower.borrow() == LOAN);
     }
 
     @Test
-    public void bothSidesTellThatTheConnectionFellSilent() {
+    public void bothSidesLogThatTheConnectionBecameSilent() {
         proxy.silenceOpenConnections();
 
-        Awaitility.await().atMost(MADE_ANEW).untilAsserted(() -> {
+        Awaitility.await().atMost(RECONNECT_TIMEOUT).untilAsserted(() -> {
             assertThat(text(borrower)).contains("peer_lost").contains("SILENT");
             assertThat(text(lender)).contains("peer_lost").contains("SILENT");
         });
     }
 
     @Test
-    public void aConnectionWithoutTrafficIsKept() throws Exception {
-        Thread.sleep(MADE_ANEW.toMillis() + 1_000);
+    public void anIdleConnectionIsKept() throws Exception {
+        Thread.sleep(RECONNECT_TIMEOUT.toMillis() + 1_000);
 
         assertThat(text(borrower)).doesNotContain("peer_lost");
         assertThat(borrower.borrow()).isEqualTo(LOAN);
