--- a/net/src/main/java/org/streamring/net/peer/DisconnectReason.java
+++ b/net/src/main/java/org/streamring/net/peer/DisconnectReason.java
@@ -1,11 +1,11 @@
 package org.streamring.net.peer;
 
-/** Why a connection to another process ended. */
+/** Reason why a connection to another process ended. */
 public enum DisconnectReason {
-    /** One side closed it. */
+    /** One of the two sides closed the connection. */
     CLOSED,
-    /** It was reset, or carried bytes that are no frame. */
+    /** The connection was reset, or a received frame could not be decoded. */
     BROKEN,
-    /** Nothing arrived for too long. */
+    /** No frame arrived within the read timeout. */
     SILENT
 }
--- a/net/src/main/java/org/streamring/net/peer/FleetKey.java
+++ b/net/src/main/java/org/streamring/net/peer/FleetKey.java
@@ -9,7 +9,10 @@
 import javax.crypto.spec.SecretKeySpec;
 import org.streamring.net.generated.Wire.Hello;
 
-/** The secret that the processes of one fleet share; proofs are HMAC-SHA-256 over both sides' identities and nonces. */
+/**
+ * Secret shared by all processes of a fleet. A proof of possession is an HMAC-SHA-256 over the identities and nonces of
+ * both sides.
+ */
 public final class FleetKey {
     private static final String ALGORITHM = "HmacSHA256";
     private static final int NONCE_BYTES = 16;
@@ -17,12 +20,12 @@
 
     private final SecretKeySpec key;
 
-    /** Creates one from its text in the settings. */
+    /** Creates a key from the secret text in the settings. */
     public FleetKey(String secret) {
         key = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), ALGORITHM);
     }
 
-    /** Derives a secret that serves one purpose only, and tells nothing of this key. */
+    /** Derives a secret for a single purpose; this key cannot be recovered from it. */
     public byte[] derive(String purpose) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -33,7 +36,7 @@
         }
     }
 
-    /** A fresh nonce. */
+    /** Generates a random nonce. */
     static ByteString nonce() {
         byte[] nonce = new byte[NONCE_BYTES];
         RANDOM.nextBytes(nonce);
@@ -41,11 +44,11 @@
     }
 
     /**
-     * Computes the proof of one side.
+     * Computes the proof that one side sends to the other.
      *
-     * @param side which side proves
-     * @param connecting first frame of the connecting side
-     * @param accepting first frame of the accepting side
+     * @param side side that sends the proof
+     * @param connecting hello of the connecting side
+     * @param accepting hello of the accepting side
      */
     ByteString proof(Side side, Hello connecting, Hello accepting) {
         try {
@@ -68,12 +71,12 @@
         mac.update(bytes);
     }
 
-    /** Compares proofs in constant time. */
-    static boolean matches(ByteString expected, ByteString given) {
-        return MessageDigest.isEqual(expected.toByteArray(), given.toByteArray());
+    /** Compares two proofs in constant time. */
+    static boolean matches(ByteString expected, ByteString received) {
+        return MessageDigest.isEqual(expected.toByteArray(), received.toByteArray());
     }
 
-    /** The two sides of a connection. */
+    /** Side of a connection. Its label is part of the proof, so that a proof cannot be reflected to its sender. */
     enum Side {
         CONNECTING((byte) 1),
         ACCEPTING((byte) 2);
--- a/net/src/main/java/org/streamring/net/peer/FrameCodec.java
+++ b/net/src/main/java/org/streamring/net/peer/FrameCodec.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.streamring.net.generated.Wire.Frame;
 
-/** Puts frames on a channel: a length of four bytes, then a protobuf message. */
+/** Installs the frame codec of a channel. A frame is a four-byte length followed by a protobuf message. */
 final class FrameCodec {
     private static final int LENGTH_BYTES = 4;
     private static final int MAX_HANDSHAKE_BYTES = 1024;
@@ -19,28 +19,30 @@
     private static final String LENGTH_DECODER = "length";
     private static final String HANDSHAKE = "handshake";
 
-    /** A box that has just started may take a second or two to answer the first frame. */
-    private static final long HANDSHAKE_MILLIS = 4_000;
-    /** A process that announces no heartbeats may be idle for long. */
-    private static final long UNANNOUNCED_SILENCE_MILLIS = 180_000;
+    /** Allows for a box that has just started, which may take 1 to 2 s to answer the first frame. */
+    private static final long HANDSHAKE_TIMEOUT_MILLIS = 4_000;
+    /** Read timeout for a process that does not announce heartbeats and may therefore be idle for a long time. */
+    private static final long READ_TIMEOUT_WITHOUT_HEARTBEATS_MILLIS = 180_000;
 
     /**
-     * Longest time without a frame from this side. Two a second cost an entry with sixty connections 120 small writes.
+     * Longest time without a frame from this side. At two heartbeats per second, an entry with 60 connections makes 120
+     * small writes per second.
      */
-    static final int HEARTBEAT_MILLIS = 500;
+    static final int HEARTBEAT_INTERVAL_MILLIS = 500;
     /**
-     * A connection that falls silent is replaced 1.5 s later; before, an entry asked it for ever, and of thirty entries
-     * whose connections fell silent 30 to 39 in 100 requests were served to the end instead of 95. Pauses of a sound
-     * process stay far below two heartbeats.
+     * Number of heartbeat intervals without a frame after which a connection is closed and replaced, that is 1.5 s.
+     * Without this timeout, entries kept using unresponsive connections: when the connections of 30 entries stopped
+     * responding, 30 to 39 of 100 requests completed instead of 95. Pauses of a healthy process stay far below two
+     * heartbeat intervals.
      */
-    private static final int HEARTBEATS_UNTIL_SILENT = 3;
+    private static final int MISSED_HEARTBEATS_UNTIL_TIMEOUT = 3;
 
     private FrameCodec() {}
 
-    /** Before authentication only very small frames are accepted. */
+    /** Adds the handlers of a new channel. Frames are limited to 1024 bytes until the peer is authenticated. */
     static void install(Channel channel, HandshakeHandler handshake) {
         ChannelPipeline pipeline = channel.pipeline();
-        pipeline.addLast(IDLE, idle(HANDSHAKE_MILLIS, 0));
+        pipeline.addLast(IDLE, idle(HANDSHAKE_TIMEOUT_MILLIS, 0));
         pipeline.addLast(LENGTH_DECODER, decoder(MAX_HANDSHAKE_BYTES));
         pipeline.addLast(new ProtobufDecoder(Frame.getDefaultInstance()));
         pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
@@ -49,21 +51,24 @@
     }
 
     /**
-     * Sends heartbeats and expects those of the other side, from now on.
+     * Starts sending heartbeats and enforcing the read timeout for those of the remote process.
      *
-     * @param remoteMillis longest time between two frames that the other side announced; 0 if it sends no heartbeats
+     * @param remoteIntervalMillis heartbeat interval in ms announced by the remote process; 0 if it sends none
      */
-    static void startHeartbeats(ChannelPipeline pipeline, int remoteMillis) {
-        boolean announced = remoteMillis > 0;
-        long silence = announced ? (long) HEARTBEATS_UNTIL_SILENT * remoteMillis : UNANNOUNCED_SILENCE_MILLIS;
-        pipeline.replace(IDLE, IDLE, idle(silence, announced ? HEARTBEAT_MILLIS : 0));
+    static void startHeartbeats(ChannelPipeline pipeline, int remoteIntervalMillis) {
+        boolean announced = remoteIntervalMillis > 0;
+        long readTimeoutMillis = announced
+                ? (long) MISSED_HEARTBEATS_UNTIL_TIMEOUT * remoteIntervalMillis
+                : READ_TIMEOUT_WITHOUT_HEARTBEATS_MILLIS;
+        pipeline.replace(IDLE, IDLE, idle(readTimeoutMillis, announced ? HEARTBEAT_INTERVAL_MILLIS : 0));
         pipeline.addBefore(HANDSHAKE, "heartbeat", new HeartbeatHandler());
     }
 
-    private static IdleStateHandler idle(long readMillis, long writeMillis) {
-        return new IdleStateHandler(readMillis, writeMillis, 0, TimeUnit.MILLISECONDS);
+    private static IdleStateHandler idle(long readIdleMillis, long writeIdleMillis) {
+        return new IdleStateHandler(readIdleMillis, writeIdleMillis, 0, TimeUnit.MILLISECONDS);
     }
 
+    /** Raises the frame limit to 8 MiB, for use after authentication. */
     static void allowLargeFrames(ChannelPipeline pipeline) {
         pipeline.replace(LENGTH_DECODER, LENGTH_DECODER, decoder(MAX_FRAME_BYTES));
     }
--- a/net/src/main/java/org/streamring/net/peer/HandshakeHandler.java
+++ b/net/src/main/java/org/streamring/net/peer/HandshakeHandler.java
@@ -12,7 +12,8 @@
 import org.streamring.net.peer.FleetKey.Side;
 
 /**
- * Proves the fleet key in both directions, then hands frames to the listener. A frame before that closes the channel.
+ * Authenticates both sides by the fleet key, then passes received frames to the listener. Any other frame received
+ * before authentication closes the channel.
  */
 final class HandshakeHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOGGER = LoggerFactory.getLogger(HandshakeHandler.class);
@@ -25,16 +26,16 @@
     private @Nullable PeerConnection connection;
     private DisconnectReason reason = DisconnectReason.CLOSED;
 
-    HandshakeHandler(Side side, FleetKey fleetKey, PeerIdentity own, PeerListener listener) {
+    HandshakeHandler(Side side, FleetKey fleetKey, PeerIdentity ownIdentity, PeerListener listener) {
         this.side = side;
         this.fleetKey = fleetKey;
         this.listener = listener;
         this.ownHello = Hello.newBuilder()
-                .setRole(own.role().name())
-                .setName(own.name())
-                .setIncarnation(own.incarnation())
+                .setRole(ownIdentity.role().name())
+                .setName(ownIdentity.name())
+                .setIncarnation(ownIdentity.incarnation())
                 .setNonce(FleetKey.nonce())
-                .setHeartbeatMillis(FrameCodec.HEARTBEAT_MILLIS)
+                .setHeartbeatMillis(FrameCodec.HEARTBEAT_INTERVAL_MILLIS)
                 .build();
     }
 
@@ -65,12 +66,12 @@
             context.writeAndFlush(Frame.newBuilder().setHello(answer).build());
             return;
         }
-        boolean proved = remoteHello != null
+        boolean proofValid = remoteHello != null
                 && frame.hasProof()
                 && FleetKey.matches(
                         fleetKey.proof(Side.CONNECTING, remoteHello, ownHello),
                         frame.getProof().getProof());
-        if (proved) {
+        if (proofValid) {
             authenticated(context, remoteHello);
         } else {
             reject(context);
@@ -78,11 +79,11 @@
     }
 
     private void connect(ChannelHandlerContext context, Frame frame) {
-        boolean proved = frame.hasHello()
+        boolean proofValid = frame.hasHello()
                 && FleetKey.matches(
                         fleetKey.proof(Side.ACCEPTING, ownHello, frame.getHello()),
                         frame.getHello().getProof());
-        if (!proved) {
+        if (!proofValid) {
             reject(context);
             return;
         }
@@ -105,7 +106,7 @@
                 new PeerConnection(context.channel(), new PeerIdentity(role, hello.getName(), hello.getIncarnation()));
         FrameCodec.startHeartbeats(context.pipeline(), hello.getHeartbeatMillis());
         listener.connected(connection);
-        // last, as it passes on at once what has arrived behind the proof
+        // must come last: replacing the decoder immediately passes on frames that arrived right after the proof
         FrameCodec.allowLargeFrames(context.pipeline());
     }
 
--- a/net/src/main/java/org/streamring/net/peer/HeartbeatHandler.java
+++ b/net/src/main/java/org/streamring/net/peer/HeartbeatHandler.java
@@ -7,7 +7,7 @@
 import org.streamring.net.generated.Wire.Frame;
 import org.streamring.net.generated.Wire.Heartbeat;
 
-/** Sends a heartbeat when nothing was written for a while, and keeps those that arrive from the listener. */
+/** Sends a heartbeat when the channel has been write-idle, and discards received heartbeats. */
 final class HeartbeatHandler extends ChannelInboundHandlerAdapter {
     private static final Frame HEARTBEAT =
             Frame.newBuilder().setHeartbeat(Heartbeat.getDefaultInstance()).build();
--- a/net/src/main/java/org/streamring/net/peer/PeerConnection.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerConnection.java
@@ -3,7 +3,7 @@
 import io.netty.channel.Channel;
 import org.streamring.net.generated.Wire.Frame;
 
-/** An authenticated connection. Safe for use by many threads. */
+/** Authenticated connection to another process. Thread-safe. */
 public final class PeerConnection {
     private final Channel channel;
     private final PeerIdentity remote;
@@ -13,15 +13,15 @@
         this.remote = remote;
     }
 
-    /** Who is at the other end. */
+    /** Returns the identity of the remote process. */
     public PeerIdentity remote() {
         return remote;
     }
 
     /**
-     * Sends a frame.
+     * Writes and flushes a frame without waiting for the result.
      *
-     * @return false if the connection is gone already, so that nothing was sent; true means nothing about arrival
+     * @return false if the connection is already closed and nothing was sent; true does not imply delivery
      */
     public boolean send(Frame frame) {
         if (!channel.isActive()) {
@@ -31,12 +31,12 @@
         return true;
     }
 
-    /** Whether more can be written without building up a long queue. */
+    /** Returns whether the outbound buffer is below its high water mark. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Closes the connection. */
+    /** Closes the connection without waiting for completion. */
     public void close() {
         channel.close();
     }
--- a/net/src/main/java/org/streamring/net/peer/PeerConnector.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerConnector.java
@@ -12,39 +12,39 @@
 import org.streamring.net.peer.FleetKey.Side;
 import org.streamring.net.process.TcpClient;
 
-/** Keeps one connection to a process of the fleet, connecting again with growing, jittered pauses. */
+/** Maintains a connection to another process of the fleet, reconnecting with exponential back-off and jitter. */
 public final class PeerConnector {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
-    private static final long FIRST_PAUSE_MILLIS = 100;
-    private static final long LONGEST_PAUSE_MILLIS = 3_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 100;
+    private static final long MAX_BACKOFF_MILLIS = 3_000;
 
     private final EventLoopGroup loops;
     private final InetSocketAddress address;
-    private final Consumer<Channel> handlers;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private final Consumer<Channel> pipelineInitializer;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
     private volatile boolean stopped;
     private volatile @Nullable Channel channel;
 
-    /** Prepares a connection; {@link #start} makes it. */
+    /** Creates a connector; {@link #start} opens the connection. */
     public PeerConnector(
             EventLoopGroup loops,
             InetSocketAddress address,
             FleetKey fleetKey,
-            PeerIdentity own,
+            PeerIdentity ownIdentity,
             PeerListener listener) {
         this.loops = loops;
         this.address = address;
-        PeerListener watched = new PauseReset(listener);
-        this.handlers =
-                created -> FrameCodec.install(created, new HandshakeHandler(Side.CONNECTING, fleetKey, own, watched));
+        PeerListener resettingListener = new BackoffReset(listener);
+        this.pipelineInitializer = created -> FrameCodec.install(
+                created, new HandshakeHandler(Side.CONNECTING, fleetKey, ownIdentity, resettingListener));
     }
 
-    /** Starts to connect. */
+    /** Starts connecting; does nothing after {@link #stop}. */
     public void start() {
         if (stopped) {
             return;
         }
-        ChannelFuture connecting = TcpClient.connect(loops, address, CONNECT_TIMEOUT_MILLIS, handlers);
+        ChannelFuture connecting = TcpClient.connect(loops, address, CONNECT_TIMEOUT_MILLIS, pipelineInitializer);
         channel = connecting.channel();
         connecting.addListener(done -> {
             if (connecting.isSuccess()) {
@@ -59,12 +59,12 @@
         if (stopped || loops.isShuttingDown()) {
             return;
         }
-        long jittered = ThreadLocalRandom.current().nextLong(pauseMillis / 2, pauseMillis + 1);
-        pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
-        loops.schedule(this::start, jittered, TimeUnit.MILLISECONDS);
+        long delayMillis = ThreadLocalRandom.current().nextLong(backoffMillis / 2, backoffMillis + 1);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
+        loops.schedule(this::start, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection for good. */
+    /** Closes the connection and stops reconnecting. */
     public void stop() {
         stopped = true;
         Channel current = channel;
@@ -73,16 +73,17 @@
         }
     }
 
-    private final class PauseReset implements PeerListener {
+    /** Resets the back-off once a connection has been authenticated. */
+    private final class BackoffReset implements PeerListener {
         private final PeerListener listener;
 
-        private PauseReset(PeerListener listener) {
+        private BackoffReset(PeerListener listener) {
             this.listener = listener;
         }
 
         @Override
         public void connected(PeerConnection connection) {
-            pauseMillis = FIRST_PAUSE_MILLIS;
+            backoffMillis = INITIAL_BACKOFF_MILLIS;
             listener.connected(connection);
         }
 
--- a/net/src/main/java/org/streamring/net/peer/PeerException.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerException.java
@@ -1,6 +1,6 @@
 package org.streamring.net.peer;
 
-/** A connection that could not be established or was given up. */
+/** Thrown if a connection or listening socket cannot be established, or a connection is abandoned. */
 public class PeerException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,11 +8,11 @@
     private final String peer;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param step what was being done
-     * @param peer address or name of the other side
-     * @param message what went wrong
+     * @param step operation that failed
+     * @param peer address or name of the peer
+     * @param message description of the failure
      */
     public PeerException(String step, String peer, String message) {
         super("%s with %s: %s".formatted(step, peer, message));
@@ -20,12 +20,12 @@
         this.peer = peer;
     }
 
-    /** What was being done. */
+    /** Returns the operation that failed. */
     public String step() {
         return step;
     }
 
-    /** Address or name of the other side. */
+    /** Returns the address or name of the peer. */
     public String peer() {
         return peer;
     }
--- a/net/src/main/java/org/streamring/net/peer/PeerIdentity.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerIdentity.java
@@ -1,18 +1,18 @@
 package org.streamring.net.peer;
 
 /**
- * Who is at one end of a connection.
+ * Identity of the process at one end of a connection.
  *
  * @param role kind of process
- * @param name name of its box
- * @param incarnation this run of the process
+ * @param name name of the box on which the process runs
+ * @param incarnation identifier of this run of the process
  */
 public record PeerIdentity(Role role, String name, String incarnation) {
-    /** Kinds of processes. */
+    /** Kind of process. */
     public enum Role {
-        /** Entry. */
+        /** Accepts requests from callers. */
         ENTRY,
-        /** Sidecar. */
+        /** Runs next to a backend server and forwards requests to it. */
         SIDECAR
     }
 }
--- a/net/src/main/java/org/streamring/net/peer/PeerListener.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerListener.java
@@ -2,14 +2,14 @@
 
 import org.streamring.net.generated.Wire.Frame;
 
-/** Told of authenticated connections and their frames, on the connection's event loop. */
+/** Receives the events of authenticated connections. All methods are called on the connection's event loop. */
 public interface PeerListener {
-    /** The other side has proved who it is. */
+    /** Called once the remote process has been authenticated. */
     void connected(PeerConnection connection);
 
-    /** A frame arrived. */
+    /** Called for each frame received, except heartbeats. */
     void received(PeerConnection connection, Frame frame);
 
-    /** The connection is gone. */
+    /** Called when an authenticated connection has been closed. */
     void disconnected(PeerConnection connection, DisconnectReason reason);
 }
--- a/net/src/main/java/org/streamring/net/peer/PeerServer.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerServer.java
@@ -6,42 +6,50 @@
 import org.streamring.net.peer.FleetKey.Side;
 import org.streamring.net.process.Listening;
 
-/** Accepts connections from other processes of the fleet. */
+/** Accepts and authenticates connections from other processes of the fleet. */
 public final class PeerServer {
-    private final Listening listening;
+    private final Listening socket;
 
-    /** Starts to listen. */
+    /**
+     * Binds the address and blocks until the socket is listening. Must not be called on an event loop.
+     *
+     * @throws PeerException if the address cannot be bound
+     */
     public PeerServer(
-            EventLoopGroup loops, InetSocketAddress address, FleetKey fleetKey, PeerIdentity own, PeerListener listener)
+            EventLoopGroup loops,
+            InetSocketAddress address,
+            FleetKey fleetKey,
+            PeerIdentity ownIdentity,
+            PeerListener listener)
             throws PeerException {
-        listening = new Listening(
+        socket = new Listening(
                 loops,
                 address,
-                accepted ->
-                        FrameCodec.install(accepted, new HandshakeHandler(Side.ACCEPTING, fleetKey, own, listener)));
+                accepted -> FrameCodec.install(
+                        accepted, new HandshakeHandler(Side.ACCEPTING, fleetKey, ownIdentity, listener)));
     }
 
-    /** Starts to listen without waiting, for callers on an event loop. */
+    /** Binds the address without blocking; the future completes once the socket is listening. */
     public static Future<Void> open(
             EventLoopGroup loops,
             InetSocketAddress address,
             FleetKey fleetKey,
-            PeerIdentity own,
+            PeerIdentity ownIdentity,
             PeerListener listener) {
         return Listening.open(
                 loops,
                 address,
-                accepted ->
-                        FrameCodec.install(accepted, new HandshakeHandler(Side.ACCEPTING, fleetKey, own, listener)));
+                accepted -> FrameCodec.install(
+                        accepted, new HandshakeHandler(Side.ACCEPTING, fleetKey, ownIdentity, listener)));
     }
 
-    /** Port in use. */
+    /** Returns the local port. */
     public int port() {
-        return listening.port();
+        return socket.port();
     }
 
-    /** Stops to listen; open connections stay. */
+    /** Closes the listening socket; established connections stay open. */
     public void close() {
-        listening.close();
+        socket.close();
     }
 }
--- a/net/src/test/java/org/streamring/net/peer/HandshakeTest.java
+++ b/net/src/test/java/org/streamring/net/peer/HandshakeTest.java
@@ -31,9 +31,9 @@
 
     private NioEventLoopGroup loops;
     private PeerServer server;
-    private Recorder accepted;
+    private RecordingListener accepted;
 
-    private static final class Recorder implements PeerListener {
+    private static final class RecordingListener implements PeerListener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
         @Override
@@ -59,7 +59,7 @@
     @BeforeMethod
     public void listen() throws PeerException {
         loops = new NioEventLoopGroup(1);
-        accepted = new Recorder();
+        accepted = new RecordingListener();
         server = new PeerServer(
                 loops,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -83,16 +83,16 @@
     }
 
     @Test
-    public void bothSidesLearnWhoTheOtherIs() throws Exception {
-        Recorder connecting = new Recorder();
+    public void bothSidesReceiveTheIdentityOfTheOther() throws Exception {
+        RecordingListener connecting = new RecordingListener();
         connector("the-right-fleet-key", connecting).start();
         assertThat(connecting.next()).isEqualTo("connected s-1~a");
         assertThat(accepted.next()).isEqualTo("connected entry-1~a");
     }
 
     @Test
-    public void aWrongKeyIsNeverConnected() throws Exception {
-        Recorder connecting = new Recorder();
+    public void aPeerWithAnotherKeyIsRejected() throws Exception {
+        RecordingListener connecting = new RecordingListener();
         PeerConnector connector = connector("another-fleet-key!", connecting);
         connector.start();
         assertThat(connecting.events.poll(1, TimeUnit.SECONDS)).isNull();
@@ -101,9 +101,9 @@
     }
 
     @Test
-    public void framesThatArriveWithTheProofAreReceivedAfterIt() throws Exception {
+    public void framesSentTogetherWithTheProofAreDelivered() throws Exception {
         Frame ping = Frame.newBuilder().setPing(Ping.newBuilder()).build();
-        try (Socket socket = connectByHand(0, List.of(ping, ping))) {
+        try (Socket socket = connectWithSocket(0, List.of(ping, ping))) {
 
             assertThat(accepted.next()).isEqualTo("connected entry-1~a");
             assertThat(accepted.next()).isEqualTo("received PING");
@@ -112,26 +112,26 @@
     }
 
     @Test
-    public void aSideThatAnnouncesHeartbeatsAndFallsSilentIsDisconnected() throws Exception {
-        try (Socket socket = connectByHand(100, List.of())) {
+    public void aPeerThatStopsSendingAnnouncedHeartbeatsIsDisconnected() throws Exception {
+        try (Socket socket = connectWithSocket(100, List.of())) {
             assertThat(accepted.next()).isEqualTo("connected entry-1~a");
             assertThat(accepted.next()).isEqualTo("disconnected SILENT");
         }
     }
 
     @Test
-    public void aSideThatAnnouncesNoHeartbeatsMayBeIdle() throws Exception {
-        try (Socket socket = connectByHand(0, List.of())) {
+    public void aPeerThatAnnouncesNoHeartbeatsMayBeIdle() throws Exception {
+        try (Socket socket = connectWithSocket(0, List.of())) {
             assertThat(accepted.next()).isEqualTo("connected entry-1~a");
             assertThat(accepted.events.poll(3, TimeUnit.SECONDS)).isNull();
         }
     }
 
     @Test
-    public void heartbeatsAreSentAndNotHandedToTheListener() throws Exception {
+    public void heartbeatsAreSentAndNotPassedToTheListener() throws Exception {
         Frame heartbeat =
                 Frame.newBuilder().setHeartbeat(Heartbeat.newBuilder()).build();
-        try (Socket socket = connectByHand(10_000, List.of(heartbeat))) {
+        try (Socket socket = connectWithSocket(10_000, List.of(heartbeat))) {
             assertThat(accepted.next()).isEqualTo("connected entry-1~a");
             DataInputStream in = new DataInputStream(socket.getInputStream());
             assertThat(Frame.parseFrom(in.readNBytes(in.readInt())).hasHeartbeat())
@@ -140,8 +140,8 @@
         }
     }
 
-    /** Connects as a process does that announces heartbeats at this interval, and sends frames behind its proof. */
-    private Socket connectByHand(int heartbeatMillis, List<Frame> behind) throws IOException {
+    /** Opens a socket, announces the heartbeat interval, authenticates and sends the frames together with the proof. */
+    private Socket connectWithSocket(int heartbeatMillis, List<Frame> afterProof) throws IOException {
         Hello own = Hello.newBuilder()
                 .setRole("ENTRY")
                 .setName("entry-1")
@@ -158,7 +158,7 @@
         Proof proof = Proof.newBuilder()
                 .setProof(new FleetKey("the-right-fleet-key").proof(FleetKey.Side.CONNECTING, own, other))
                 .build();
-        List<Frame> frames = new ArrayList<>(behind);
+        List<Frame> frames = new ArrayList<>(afterProof);
         frames.add(0, Frame.newBuilder().setProof(proof).build());
         socket.getOutputStream().write(bytes(frames));
         return socket;
@@ -175,7 +175,7 @@
     }
 
     @DataProvider
-    public Object[][] forgeries() {
+    public Object[][] unauthenticatedFrames() {
         Frame ping = Frame.newBuilder().setPing(Ping.newBuilder()).build();
         Frame hello = Frame.newBuilder()
                 .setHello(org.streamring.net.generated.Wire.Hello.newBuilder().setRole("ENTRY"))
@@ -191,25 +191,25 @@
         };
     }
 
-    @Test(dataProvider = "forgeries")
-    public void aFrameWithoutProofIsNotActedOn(String name, List<Frame> frames) throws Exception {
+    @Test(dataProvider = "unauthenticatedFrames")
+    public void framesBeforeAuthenticationAreNotDelivered(String name, List<Frame> frames) throws Exception {
         assertClosedAfter(bytes(frames));
         assertThat(accepted.events).as(name).isEmpty();
     }
 
     @Test
-    public void aHugeFrameBeforeAuthenticationClosesTheConnection() throws Exception {
+    public void anOversizedFrameBeforeAuthenticationClosesTheConnection() throws Exception {
         assertClosedAfter(new byte[] {0x7f, 0, 0, 0, 1, 2, 3});
         assertThat(accepted.events).isEmpty();
     }
 
-    /** The other side may answer first; then it closes. A connection that stays open fails with a time-out. */
+    /** Sends the bytes and reads until the server closes. The server may answer first; an open connection times out. */
     private void assertClosedAfter(byte[] sent) throws java.io.IOException {
         try (java.net.Socket socket = new java.net.Socket(InetAddress.getLoopbackAddress(), server.port())) {
             socket.setSoTimeout(20_000);
             socket.getOutputStream().write(sent);
-            byte[] rest = socket.getInputStream().readAllBytes();
-            assertThat(rest).as("at most the answer to a hello").hasSizeLessThan(200);
+            byte[] response = socket.getInputStream().readAllBytes();
+            assertThat(response).as("at most the response to a hello").hasSizeLessThan(200);
         } catch (java.net.SocketException closedWhileSending) {
             assertThat(closedWhileSending).isNotInstanceOf(java.net.ConnectException.class);
         }
