--- a/net/src/main/java/org/streamring/net/http/HttpCallException.java
+++ b/net/src/main/java/org/streamring/net/http/HttpCallException.java
@@ -1,24 +1,24 @@
 package org.streamring.net.http;
 
-/** A call got no whole answer. */
+/** Thrown if no complete response was received for a call. */
 public final class HttpCallException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final boolean sent;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param step what was tried, and at which peer
-     * @param reason what went wrong
-     * @param sent whether the call may have reached the peer
+     * @param step request and address of the service
+     * @param reason description of the failure
+     * @param sent whether the request may have reached the service
      */
     public HttpCallException(String step, String reason, boolean sent) {
         super(step + ": " + reason);
         this.sent = sent;
     }
 
-    /** Whether the call may have reached the peer. */
+    /** Returns whether the request may have reached the service. */
     public boolean sent() {
         return sent;
     }
--- a/net/src/main/java/org/streamring/net/http/HttpCaller.java
+++ b/net/src/main/java/org/streamring/net/http/HttpCaller.java
@@ -27,32 +27,32 @@
 import org.streamring.net.process.TcpClient;
 
 /**
- * Calls one HTTP service.
+ * HTTP client of a single service that reuses idle connections.
  *
- * <p>A call without an answer in time closes its connection, as an answer that comes later belongs to no call. An
- * answer is in time while its bytes keep coming: with a limit on the whole of it, boxes with links of 10 Mbit/s could
- * not read an answer of 2 MB in 1.8 s, however often they asked. Confined to its event loop.
+ * <p>A call that times out closes its connection, since a late response could not be matched to a call. The main limit
+ * is an idle timeout between bytes: with a limit on the complete response alone, boxes with 10 Mbit/s links could not
+ * read a 2 MB response within 1.8 s, however often they retried. Confined to its event loop.
  */
 public final class HttpCaller {
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
     private static final int MAX_REPLY_BYTES = 8 * 1024 * 1024;
     /**
-     * Bounds the time for a whole answer, in parts of the longest silence. The largest answer takes 6.7 s at 10 Mbit/s,
-     * where the shortest silence is 1.2 s.
+     * Timeout for the complete response, as a multiple of the idle timeout. The largest response takes 6.7 s at
+     * 10 Mbit/s, where the shortest idle timeout is 1.2 s.
      */
-    static final int WHOLE_ANSWER_PARTS = 8;
+    static final int TOTAL_TIMEOUT_FACTOR = 8;
 
     private final EventLoop loop;
     private InetSocketAddress address;
     private final Deque<Channel> idle = new ArrayDeque<>();
 
-    /** Creates one without connections. */
+    /** Creates a client; connections are opened on demand. */
     public HttpCaller(EventLoop loop, InetSocketAddress address) {
         this.loop = loop;
         this.address = address;
     }
 
-    /** Calls another address from now on. */
+    /** Sets the address of the service for subsequent calls; closes idle connections if it differs. */
     public void moveTo(InetSocketAddress other) {
         if (!other.equals(address)) {
             address = other;
@@ -61,36 +61,36 @@
     }
 
     /**
-     * Calls the service.
+     * Sends a request with a timeout for the complete response of 8 times the idle timeout.
      *
-     * @param body JSON body; empty for none
-     * @param silenceMillis longest wait for the answer's first byte, and between two of its bytes
-     * @return fails with {@link HttpCallException}
+     * @param body JSON body; empty if the request has none
+     * @param idleTimeoutMillis longest wait for the first byte of the response, and between two reads
+     * @return future that completes on the event loop, exceptionally with {@link HttpCallException} if the call fails
      */
-    public CompletableFuture<HttpReply> call(HttpMethod method, String target, byte[] body, long silenceMillis) {
-        return call(method, target, body, silenceMillis, silenceMillis * WHOLE_ANSWER_PARTS);
+    public CompletableFuture<HttpReply> call(HttpMethod method, String target, byte[] body, long idleTimeoutMillis) {
+        return call(method, target, body, idleTimeoutMillis, idleTimeoutMillis * TOTAL_TIMEOUT_FACTOR);
     }
 
     /**
-     * Calls the service.
+     * Sends a request.
      *
-     * @param body JSON body; empty for none
-     * @param silenceMillis longest wait for the answer's first byte, and between two of its bytes
-     * @param wholeMillis longest wait for the whole answer
-     * @return fails with {@link HttpCallException}
+     * @param body JSON body; empty if the request has none
+     * @param idleTimeoutMillis longest wait for the first byte of the response, and between two reads
+     * @param totalTimeoutMillis longest wait for the complete response
+     * @return future that completes on the event loop, exceptionally with {@link HttpCallException} if the call fails
      */
     public CompletableFuture<HttpReply> call(
-            HttpMethod method, String target, byte[] body, long silenceMillis, long wholeMillis) {
-        Call call = new Call(method, target, body, silenceMillis, wholeMillis);
-        call.awaitBytes(silenceMillis);
-        Channel kept = idle.pollFirst();
-        while (kept != null && !kept.isActive()) {
-            kept = idle.pollFirst();
-        }
-        if (kept == null) {
+            HttpMethod method, String target, byte[] body, long idleTimeoutMillis, long totalTimeoutMillis) {
+        Call call = new Call(method, target, body, idleTimeoutMillis, totalTimeoutMillis);
+        call.scheduleTimeout(idleTimeoutMillis);
+        Channel pooled = idle.pollFirst();
+        while (pooled != null && !pooled.isActive()) {
+            pooled = idle.pollFirst();
+        }
+        if (pooled == null) {
             connect(call);
         } else {
-            call.send(kept);
+            call.send(pooled);
         }
         return call.reply;
     }
@@ -104,7 +104,7 @@
         ChannelFuture connecting =
                 TcpClient.connect(loop, address, CONNECT_TIMEOUT_MILLIS, created -> created.pipeline()
                         .addLast(
-                                new ByteWatch(),
+                                new ReceivedBytesHandler(),
                                 new HttpClientCodec(),
                                 new HttpObjectAggregator(MAX_REPLY_BYTES),
                                 new ReplyHandler()));
@@ -119,42 +119,43 @@
         });
     }
 
+    /** Request in progress; its timeout includes the time to connect. */
     private final class Call {
         private final HttpMethod method;
         private final String target;
         private final byte[] body;
-        private final long silenceMillis;
-        private final long wholeMillis;
-        private final long beganNanos = System.nanoTime();
+        private final long idleTimeoutMillis;
+        private final long totalTimeoutMillis;
+        private final long startNanos = System.nanoTime();
         private final CompletableFuture<HttpReply> reply = new CompletableFuture<>();
-        private long heardNanos = beganNanos;
-        private long heardBytes;
+        private long lastReadNanos = startNanos;
+        private long receivedBytes;
         private @Nullable Future<?> timer;
         private @Nullable Channel channel;
 
-        private Call(HttpMethod method, String target, byte[] body, long silenceMillis, long wholeMillis) {
+        private Call(HttpMethod method, String target, byte[] body, long idleTimeoutMillis, long totalTimeoutMillis) {
             this.method = method;
             this.target = target;
             this.body = body;
-            this.silenceMillis = silenceMillis;
-            this.wholeMillis = wholeMillis;
+            this.idleTimeoutMillis = idleTimeoutMillis;
+            this.totalTimeoutMillis = totalTimeoutMillis;
         }
 
-        private void heard(int bytes) {
-            heardNanos = System.nanoTime();
-            heardBytes += bytes;
+        private void recordReceived(int bytes) {
+            lastReadNanos = System.nanoTime();
+            receivedBytes += bytes;
         }
 
-        private void awaitBytes(long millis) {
-            timer = loop.schedule(this::checkProgress, millis, TimeUnit.MILLISECONDS);
+        private void scheduleTimeout(long millis) {
+            timer = loop.schedule(this::checkTimeouts, millis, TimeUnit.MILLISECONDS);
         }
 
-        private void checkProgress() {
-            long untilSilent = silenceMillis - millisSince(heardNanos);
-            long untilTooLong = wholeMillis - millisSince(beganNanos);
-            long left = Math.min(untilSilent, untilTooLong);
-            if (left > 0) {
-                awaitBytes(left);
+        private void checkTimeouts() {
+            long untilIdleTimeout = idleTimeoutMillis - millisSince(lastReadNanos);
+            long untilTotalTimeout = totalTimeoutMillis - millisSince(startNanos);
+            long remainingMillis = Math.min(untilIdleTimeout, untilTotalTimeout);
+            if (remainingMillis > 0) {
+                scheduleTimeout(remainingMillis);
             } else {
                 timedOut();
             }
@@ -164,9 +165,9 @@
             return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
         }
 
-        private void send(Channel open) {
-            channel = open;
-            open.pipeline().get(ReplyHandler.class).call = this;
+        private void send(Channel connected) {
+            channel = connected;
+            connected.pipeline().get(ReplyHandler.class).call = this;
             DefaultFullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, target, Unpooled.wrappedBuffer(body));
             request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
@@ -174,17 +175,17 @@
                 request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
                 request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
-            open.writeAndFlush(request);
+            connected.writeAndFlush(request);
         }
 
-        /** Connections mostly fall silent together; tried one after the other, each would cost a call its time-out. */
+        /** Also closes the idle connections: usually all fail together, and each would time out another call. */
         private void timedOut() {
             closeIdle();
-            fail("no answer in time, " + heardBytes + " bytes of it came");
+            fail("no answer in time, " + receivedBytes + " bytes received");
         }
 
         private void fail(String reason) {
-            end();
+            cancelTimer();
             if (channel != null) {
                 channel.close();
             }
@@ -192,47 +193,48 @@
             reply.completeExceptionally(new HttpCallException(step, reason, channel != null));
         }
 
-        private void end() {
+        private void cancelTimer() {
             if (timer != null) {
                 timer.cancel(false);
             }
         }
     }
 
-    /** Notes that bytes of an answer came. */
-    private static final class ByteWatch extends ChannelInboundHandlerAdapter {
+    /** Records the bytes received, before they are decoded, to reset the idle timeout of the call. */
+    private static final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             Call waiting = context.pipeline().get(ReplyHandler.class).call;
-            if (waiting != null && bytes instanceof ByteBuf heard) {
-                waiting.heard(heard.readableBytes());
+            if (waiting != null && bytes instanceof ByteBuf buffer) {
+                waiting.recordReceived(buffer.readableBytes());
             }
             context.fireChannelRead(bytes);
         }
     }
 
+    /** Completes the call that is using the connection. */
     private final class ReplyHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private @Nullable Call call;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            Call answered = call;
+            Call completed = call;
             call = null;
-            if (answered == null || response.decoderResult().isFailure()) {
+            if (completed == null || response.decoderResult().isFailure()) {
                 context.close();
-                if (answered != null) {
-                    answered.fail("bytes that are no answer");
+                if (completed != null) {
+                    completed.fail("malformed or unexpected HTTP response");
                 }
                 return;
             }
-            answered.end();
+            completed.cancelTimer();
             if (HttpUtil.isKeepAlive(response)) {
                 idle.addFirst(context.channel());
             } else {
                 context.close();
             }
-            HttpReply whole = new HttpReply(response.status().code(), ByteBufUtil.getBytes(response.content()));
-            answered.reply.complete(whole);
+            HttpReply completeReply = new HttpReply(response.status().code(), ByteBufUtil.getBytes(response.content()));
+            completed.reply.complete(completeReply);
         }
 
         @Override
@@ -243,10 +245,10 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idle.remove(context.channel());
-            Call broken = call;
+            Call interrupted = call;
             call = null;
-            if (broken != null) {
-                broken.fail("the connection was closed");
+            if (interrupted != null) {
+                interrupted.fail("connection closed before the response was complete");
             }
         }
     }
--- a/net/src/main/java/org/streamring/net/http/HttpReply.java
+++ b/net/src/main/java/org/streamring/net/http/HttpReply.java
@@ -1,10 +1,10 @@
 package org.streamring.net.http;
 
 /**
- * A whole answer.
+ * Complete HTTP response.
  *
- * @param status HTTP status
- * @param body whole body
+ * @param status HTTP status code
+ * @param body response body; empty if there is none
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpReply(int status, byte[] body) {}
--- a/net/src/main/java/org/streamring/net/http/package-info.java
+++ b/net/src/main/java/org/streamring/net/http/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to an HTTP service, each with its own time limit, on connections that are kept. */
+/** HTTP client with a timeout per call and connection reuse. */
 @NullMarked
 package org.streamring.net.http;
 
--- a/net/src/test/java/org/streamring/net/http/HttpCallerTest.java
+++ b/net/src/test/java/org/streamring/net/http/HttpCallerTest.java
@@ -20,73 +20,74 @@
 import org.testng.annotations.Test;
 
 public class HttpCallerTest {
-    private static final long SILENCE_MILLIS = 800;
-    private static final long PAUSE_MILLIS = 80;
-    private static final int LENGTH = 40;
+    private static final long IDLE_TIMEOUT_MILLIS = 800;
+    private static final long BYTE_INTERVAL_MILLIS = 80;
+    private static final int CONTENT_LENGTH = 40;
 
     private NioEventLoopGroup loops;
-    private ServerSocket listening;
+    private ServerSocket serverSocket;
 
     @BeforeMethod
     public void setUp() throws Exception {
         loops = new NioEventLoopGroup(1);
-        listening = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         loadClasses();
     }
 
-    /** The first call of a process loads the client's classes, which may take longer than the silence tried here. */
+    /** The first call of a process loads the client classes, which may take longer than the idle timeout under test. */
     private void loadClasses() throws Exception {
-        answerWith(LENGTH);
+        respondWith(CONTENT_LENGTH);
         call(10_000).get(20, TimeUnit.SECONDS);
     }
 
     @AfterMethod(alwaysRun = true)
     public void tearDown() throws Exception {
-        listening.close();
+        serverSocket.close();
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
     @Test
-    public void anAnswerMayTakeLongWhileItsBytesKeepComing() throws Exception {
-        answerWith(LENGTH);
-        assertThat(new String(call(SILENCE_MILLIS).get(10, TimeUnit.SECONDS).body(), StandardCharsets.UTF_8))
-                .hasSize(LENGTH);
+    public void aSlowResponseIsReadWhileItsBytesKeepArriving() throws Exception {
+        respondWith(CONTENT_LENGTH);
+        assertThat(new String(
+                        call(IDLE_TIMEOUT_MILLIS).get(10, TimeUnit.SECONDS).body(), StandardCharsets.UTF_8))
+                .hasSize(CONTENT_LENGTH);
     }
 
     @Test
-    public void anAnswerThatStopsHalfwayIsGivenUp() {
-        answerWith(LENGTH / 4);
-        assertThatThrownBy(() -> call(SILENCE_MILLIS).get(5, TimeUnit.SECONDS))
+    public void aResponseThatStallsTimesOut() {
+        respondWith(CONTENT_LENGTH / 4);
+        assertThatThrownBy(() -> call(IDLE_TIMEOUT_MILLIS).get(5, TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class)
                 .hasMessageContaining("no answer in time, ");
     }
 
     @Test
-    public void anAnswerThatNeverEndsIsGivenUp() {
-        answerWith(LENGTH * 1_000);
-        long began = System.nanoTime();
-        assertThatThrownBy(() -> call(SILENCE_MILLIS).get(20, TimeUnit.SECONDS))
+    public void aResponseThatNeverEndsTimesOut() {
+        respondWith(CONTENT_LENGTH * 1_000);
+        long startNanos = System.nanoTime();
+        assertThatThrownBy(() -> call(IDLE_TIMEOUT_MILLIS).get(20, TimeUnit.SECONDS))
                 .isInstanceOf(ExecutionException.class)
                 .hasMessageContaining("no answer in time, ");
-        long tookMillis = (System.nanoTime() - began) / 1_000_000;
-        assertThat(tookMillis).isGreaterThan(SILENCE_MILLIS * HttpCaller.WHOLE_ANSWER_PARTS - 50);
+        long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
+        assertThat(elapsedMillis).isGreaterThan(IDLE_TIMEOUT_MILLIS * HttpCaller.TOTAL_TIMEOUT_FACTOR - 50);
     }
 
-    /** Sends an answer byte by byte; it says that it has as many as sent, but for one that ends too soon. */
-    private void answerWith(int bytes) {
+    /** Sends a response of this many bytes, one by one. The content length is at least {@code CONTENT_LENGTH}. */
+    private void respondWith(int bytes) {
         Thread server = new Thread(() -> {
-            try (Socket socket = listening.accept()) {
+            try (Socket socket = serverSocket.accept()) {
                 OutputStream out = socket.getOutputStream();
-                int length = Math.max(LENGTH, bytes);
+                int length = Math.max(CONTENT_LENGTH, bytes);
                 out.write(
                         ("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n").getBytes(StandardCharsets.UTF_8));
                 for (int i = 0; i < bytes; i++) {
                     out.write('x');
-                    Thread.sleep(PAUSE_MILLIS);
+                    Thread.sleep(BYTE_INTERVAL_MILLIS);
                 }
                 Thread.sleep(10_000);
             } catch (IOException e) {
-                // the caller gave up
+                // the client closed the connection
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -95,11 +96,11 @@
         server.start();
     }
 
-    private CompletableFuture<HttpReply> call(long silenceMillis) throws InterruptedException, ExecutionException {
+    private CompletableFuture<HttpReply> call(long idleTimeoutMillis) throws InterruptedException, ExecutionException {
         HttpCaller caller = new HttpCaller(
-                loops.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort()));
+                loops.next(), new InetSocketAddress(InetAddress.getLoopbackAddress(), serverSocket.getLocalPort()));
         return CompletableFuture.supplyAsync(
-                        () -> caller.call(HttpMethod.GET, "/", new byte[0], silenceMillis), loops.next())
+                        () -> caller.call(HttpMethod.GET, "/", new byte[0], idleTimeoutMillis), loops.next())
                 .get();
     }
 }
