--- a/net/src/main/java/org/streamring/net/settings/Setting.java
+++ b/net/src/main/java/org/streamring/net/settings/Setting.java
@@ -1,9 +1,9 @@
 package org.streamring.net.settings;
 
 /**
- * One setting of a process.
+ * Definition of a setting.
  *
- * @param <T> type of its value
+ * @param <T> type of the value
  */
 public final class Setting<T> {
     private final String key;
@@ -20,27 +20,27 @@
         this.description = description;
     }
 
-    /** Dotted key. */
+    /** Returns the dotted key. */
     public String key() {
         return key;
     }
 
-    /** Type of the value. */
+    /** Returns the type of the value. */
     Class<T> type() {
         return type;
     }
 
-    /** Default as text; empty if the setting must be given. */
+    /** Returns the default as text; empty if the setting is required. */
     public String defaultText() {
         return defaultText;
     }
 
-    /** What is allowed, in words. */
+    /** Returns a description of the allowed values. */
     public String allowed() {
         return allowed;
     }
 
-    /** What it does. */
+    /** Returns a description of what the setting does. */
     public String description() {
         return description;
     }
--- a/net/src/main/java/org/streamring/net/settings/SettingValues.java
+++ b/net/src/main/java/org/streamring/net/settings/SettingValues.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Checked settings. */
+/** Validated settings of a process. */
 public final class SettingValues {
     private final Map<String, Object> values;
 
@@ -10,11 +10,15 @@
         this.values = Map.copyOf(values);
     }
 
-    /** The value of a setting, or its default. */
+    /**
+     * Returns the value of a setting, or its default if the file does not set it.
+     *
+     * @throws IllegalArgumentException if the setting belongs to another schema
+     */
     public <T> T get(Setting<T> setting) {
         Object value = values.get(setting.key());
         if (value == null) {
-            throw new IllegalArgumentException("not part of the schema that was read: " + setting.key());
+            throw new IllegalArgumentException("setting is not part of the schema: " + setting.key());
         }
         return setting.type().cast(value);
     }
--- a/net/src/main/java/org/streamring/net/settings/SettingsException.java
+++ b/net/src/main/java/org/streamring/net/settings/SettingsException.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** Settings that can't be used, with every mistake. */
+/** Thrown if settings or declarations are invalid; lists every error found. */
 public class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient List<String> mistakes;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param file file concerned
-     * @param mistakes one line each
+     * @param file name of the file or files
+     * @param mistakes one line per error
      */
     public SettingsException(String file, List<String> mistakes) {
         super(file + ":\n  " + String.join("\n  ", mistakes));
         this.mistakes = List.copyOf(mistakes);
     }
 
-    /** One line per mistake. */
+    /** Returns one line per error. */
     public List<String> mistakes() {
         return mistakes;
     }
--- a/net/src/main/java/org/streamring/net/settings/SettingsSchema.java
+++ b/net/src/main/java/org/streamring/net/settings/SettingsSchema.java
@@ -17,7 +17,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The settings that a program knows. Reading a file reports every mistake at once; unknown keys are mistakes. */
+/** Settings supported by a program. Reading a file reports all errors at once, including unknown keys. */
 public final class SettingsSchema {
     private static final Pattern DURATION = Pattern.compile("(\\d+)(ms|s|m|h)");
 
@@ -27,45 +27,44 @@
 
     @FunctionalInterface
     private interface Parser {
-        /** Returns the value; null stands for one that is not allowed. */
+        /** Parses a value; returns null if it is not allowed. */
         @org.jspecify.annotations.Nullable
         Object parse(String text);
     }
 
-    /** Adds a text; an empty default means that it must be given. */
+    /** Adds a text setting. An empty pattern allows any text; an empty default makes the setting required. */
     public Setting<String> text(String key, String defaultText, String allowed, String description) {
         Pattern pattern = Pattern.compile(allowed.isEmpty() ? ".+" : allowed);
-        String words = allowed.isEmpty() ? "any text" : "text matching " + allowed;
+        String allowedText = allowed.isEmpty() ? "any text" : "text matching " + allowed;
         return add(
-                new Setting<>(key, String.class, defaultText, words, description),
+                new Setting<>(key, String.class, defaultText, allowedText, description),
                 text -> pattern.matcher(text).matches() ? text : null);
     }
 
-    /** Adds a whole number. */
-    public Setting<Integer> integer(String key, String defaultText, int least, int most, String description) {
+    /** Adds an integer setting with an inclusive range. */
+    public Setting<Integer> integer(String key, String defaultText, int min, int max, String description) {
         return add(
-                new Setting<>(
-                        key, Integer.class, defaultText, "whole number from " + least + " to " + most, description),
-                text -> parseInteger(text, least, most));
+                new Setting<>(key, Integer.class, defaultText, "whole number from " + min + " to " + max, description),
+                text -> parseInteger(text, min, max));
     }
 
-    /** Adds a duration such as {@code 250ms}, {@code 10s}, {@code 5m} or {@code 1h}. */
+    /** Adds a duration setting, with values such as {@code 250ms}, {@code 10s}, {@code 5m} or {@code 1h}. */
     public Setting<Duration> duration(String key, String defaultText, String description) {
         return add(
                 new Setting<>(key, Duration.class, defaultText, "duration such as 250ms, 10s, 5m or 1h", description),
                 SettingsSchema::parseDuration);
     }
 
-    /** Adds a choice among words. */
-    public Setting<String> choice(String key, String defaultText, Set<String> words, String description) {
+    /** Adds a setting with a fixed set of values. */
+    public Setting<String> choice(String key, String defaultText, Set<String> choices, String description) {
         return add(
                 new Setting<>(
                         key,
                         String.class,
                         defaultText,
-                        "one of " + words.stream().sorted().toList(),
+                        "one of " + choices.stream().sorted().toList(),
                         description),
-                text -> words.contains(text) ? text : null);
+                text -> choices.contains(text) ? text : null);
     }
 
     private <T> Setting<T> add(Setting<T> setting, Parser parser) {
@@ -73,26 +72,31 @@
         return setting;
     }
 
-    /** Every setting, in the order of declaration. */
+    /** Returns all settings in declaration order. */
     public List<Setting<?>> settings() {
         List<Setting<?>> settings = new ArrayList<>();
         entries.values().forEach(entry -> settings.add(entry.setting()));
         return settings;
     }
 
-    /** A Markdown table of every setting, for the reference. */
+    /** Returns a Markdown table of all settings for the reference documentation. */
     public String describe() {
         StringBuilder table =
                 new StringBuilder("| setting | default | allowed | what it does |\n| --- | --- | --- | --- |\n");
         for (Setting<?> setting : settings()) {
-            String standard = setting.defaultText().isEmpty() ? "must be given" : "`" + setting.defaultText() + "`";
+            String defaultCell = setting.defaultText().isEmpty() ? "must be given" : "`" + setting.defaultText() + "`";
             table.append("| `%s` | %s | %s | %s |%n"
-                    .formatted(setting.key(), standard, setting.allowed().replace("|", "\\|"), setting.description()));
+                    .formatted(
+                            setting.key(), defaultCell, setting.allowed().replace("|", "\\|"), setting.description()));
         }
         return table.toString();
     }
 
-    /** Reads and checks a file. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws SettingsException if the file cannot be read or is invalid
+     */
     public SettingValues read(Path file) throws SettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -101,10 +105,15 @@
         }
     }
 
-    /** Checks a text. */
+    /**
+     * Parses and validates TOML text.
+     *
+     * @param name name of the source in error messages
+     * @throws SettingsException if the text is not TOML, or with all errors if settings are invalid
+     */
     public SettingValues parse(String name, String toml) throws SettingsException {
         Map<String, String> given = new LinkedHashMap<>();
-        List<String> mistakes = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         try {
             flatten("", new TomlMapper().readTree(toml), given);
         } catch (JsonProcessingException e) {
@@ -112,53 +121,52 @@
         }
         given.keySet().stream()
                 .filter(key -> !entries.containsKey(key))
-                .forEach(key -> mistakes.add(
+                .forEach(key -> errors.add(
                         "%s = \"%s\": unknown key; allowed are %s".formatted(key, given.get(key), entries.keySet())));
         Map<String, Object> values = new HashMap<>();
         for (Entry entry : entries.values()) {
-            check(entry, given, values, mistakes);
+            check(entry, given, values, errors);
         }
-        if (!mistakes.isEmpty()) {
-            throw new SettingsException(name, mistakes);
+        if (!errors.isEmpty()) {
+            throw new SettingsException(name, errors);
         }
         return new SettingValues(values);
     }
 
-    private static void check(
-            Entry entry, Map<String, String> given, Map<String, Object> values, List<String> mistakes) {
+    private static void check(Entry entry, Map<String, String> given, Map<String, Object> values, List<String> errors) {
         Setting<?> setting = entry.setting();
         String text = given.getOrDefault(setting.key(), setting.defaultText());
         if (text.isEmpty()) {
-            mistakes.add("%s: must be given; allowed is %s".formatted(setting.key(), setting.allowed()));
+            errors.add("%s: must be given; allowed is %s".formatted(setting.key(), setting.allowed()));
             return;
         }
         Object value = entry.parser().parse(text);
         if (value == null) {
-            mistakes.add("%s = \"%s\": allowed is %s".formatted(setting.key(), text, setting.allowed()));
+            errors.add("%s = \"%s\": allowed is %s".formatted(setting.key(), text, setting.allowed()));
             return;
         }
         values.put(setting.key(), value);
     }
 
-    private static void flatten(String prefix, JsonNode node, Map<String, String> into) {
+    private static void flatten(String prefix, JsonNode node, Map<String, String> target) {
         Iterator<Map.Entry<String, JsonNode>> fields = node.fields();
         while (fields.hasNext()) {
             Map.Entry<String, JsonNode> field = fields.next();
             String key = prefix + field.getKey();
             if (field.getValue().isObject()) {
-                flatten(key + ".", field.getValue(), into);
+                flatten(key + ".", field.getValue(), target);
             } else if (field.getValue().isValueNode()) {
-                into.put(key, field.getValue().asText());
+                target.put(key, field.getValue().asText());
             } else {
-                into.put(key, field.getValue().toString());
+                target.put(key, field.getValue().toString());
             }
         }
     }
 
-    private static @org.jspecify.annotations.Nullable Integer parseInteger(String text, int least, int most) {
+    private static @org.jspecify.annotations.Nullable Integer parseInteger(String text, int min, int max) {
         try {
             int value = Integer.parseInt(text);
-            return value < least || value > most ? null : value;
+            return value < min || value > max ? null : value;
         } catch (NumberFormatException e) {
             return null;
         }
--- a/net/src/main/java/org/streamring/net/settings/TomlFileReader.java
+++ b/net/src/main/java/org/streamring/net/settings/TomlFileReader.java
@@ -15,47 +15,48 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads one TOML file into a record; unknown keys are mistakes, each with what is allowed. */
+/** Maps a TOML file to a record. Unknown keys are reported as errors that list the allowed keys. */
 public final class TomlFileReader {
     private TomlFileReader() {}
 
     /**
-     * Reads a file.
+     * Reads a file and maps it to a record.
      *
-     * @param mistakes unknown keys are added here, so that all of them are reported at once
-     * @throws SettingsException if the file can't be read, or is no TOML of this form
+     * @param errors list to which an error is added for each unknown key, so that all can be reported together
+     * @throws SettingsException if the file cannot be read, is not TOML, or does not match the record
      */
-    public static <T> T read(Path file, Class<T> type, List<String> mistakes) throws SettingsException {
+    public static <T> T read(Path file, Class<T> type, List<String> errors) throws SettingsException {
         TomlMapper mapper = TomlMapper.builder()
                 .addModule(new Jdk8Module())
                 .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
                 .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
                 .disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                 .build();
-        mapper.addHandler(new UnknownKeys(file, mistakes));
+        mapper.addHandler(new UnknownKeyHandler(file, errors));
         try {
             return mapper.readValue(Files.readString(file), type);
         } catch (JsonProcessingException e) {
-            throw new SettingsException(file.toString(), List.of(e.getOriginalMessage() + " at " + where(e)));
+            throw new SettingsException(file.toString(), List.of(e.getOriginalMessage() + " at " + position(e)));
         } catch (IOException e) {
             throw new SettingsException(file.toString(), List.of("can't be read: " + e));
         }
     }
 
-    private static String where(JsonProcessingException e) {
+    private static String position(JsonProcessingException e) {
         return e.getLocation() == null
-                ? "an unknown place"
+                ? "an unknown position"
                 : "line %d, column %d"
                         .formatted(e.getLocation().getLineNr(), e.getLocation().getColumnNr());
     }
 
-    private static final class UnknownKeys extends DeserializationProblemHandler {
+    /** Adds an error for each unknown key and skips its value. */
+    private static final class UnknownKeyHandler extends DeserializationProblemHandler {
         private final Path file;
-        private final List<String> mistakes;
+        private final List<String> errors;
 
-        private UnknownKeys(Path file, List<String> mistakes) {
+        private UnknownKeyHandler(Path file, List<String> errors) {
             this.file = file;
-            this.mistakes = mistakes;
+            this.errors = errors;
         }
 
         @Override
@@ -66,7 +67,7 @@
                 Object beanOrClass,
                 String propertyName)
                 throws IOException {
-            mistakes.add("%s: %s.%s: unknown key; allowed are %s"
+            errors.add("%s: %s.%s: unknown key; allowed are %s"
                     .formatted(
                             file,
                             context.getParser()
@@ -76,7 +77,7 @@
                                     .replace('/', '.')
                                     .substring(1),
                             propertyName,
-                            deserializer == null ? "others" : deserializer.getKnownPropertyNames()));
+                            deserializer == null ? "unknown" : deserializer.getKnownPropertyNames()));
             parser.skipChildren();
             return true;
         }
--- a/net/src/main/java/org/streamring/net/settings/package-info.java
+++ b/net/src/main/java/org/streamring/net/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings in TOML, described once and checked whole. */
+/** Reading and validation of settings and declarations in TOML files. */
 @NullMarked
 package org.streamring.net.settings;
 
--- a/net/src/test/java/org/streamring/net/settings/DeclarationReaderTest.java
+++ b/net/src/test/java/org/streamring/net/settings/DeclarationReaderTest.java
@@ -25,14 +25,14 @@
     }
 
     @Test(dataProvider = "examples")
-    public void theExamplesAreValid(String name, String service) throws SettingsException {
+    public void exampleDeclarationsAreValid(String name, String service) throws SettingsException {
         Path example = Path.of("").toAbsolutePath().getParent().resolve("examples/" + name + ".toml");
         Declarations declarations = DeclarationReader.read(List.of(example));
         assertThat(declarations.services().get(service).kind()).isEqualTo(ServiceKind.MODEL);
     }
 
     @Test
-    public void everyMistakeIsReportedAtOnce() throws IOException {
+    public void allErrorsAreReportedTogether() throws IOException {
         Path file = file("""
                 [budgets.b]
                 tokens = -1
@@ -42,16 +42,17 @@
                 services = ["nothing"]
                 colour = "red"
                 """);
-        SettingsException problem =
+        SettingsException exception =
                 catchThrowableOfType(SettingsException.class, () -> DeclarationReader.read(List.of(file)));
-        assertThat(problem.mistakes()).hasSize(5);
-        assertThat(problem.getMessage()).contains("colour", "none", "short", "nothing", "tokens");
+        assertThat(exception.mistakes()).hasSize(5);
+        assertThat(exception.getMessage()).contains("colour", "none", "short", "nothing", "tokens");
     }
 
     @Test
-    public void anItemDeclaredInTwoFilesIsAMistake() throws IOException {
+    public void anItemDeclaredInTwoFilesIsRejected() throws IOException {
         List<Path> files = List.of(file("[classes.c]\nrank = 1\n"), file("[classes.c]\nrank = 2\n"));
-        SettingsException problem = catchThrowableOfType(SettingsException.class, () -> DeclarationReader.read(files));
-        assertThat(problem.getMessage()).contains("classes.c", "declared twice");
+        SettingsException exception =
+                catchThrowableOfType(SettingsException.class, () -> DeclarationReader.read(files));
+        assertThat(exception.getMessage()).contains("classes.c", "declared twice");
     }
 }
--- a/net/src/test/java/org/streamring/net/settings/SettingsSchemaTest.java
+++ b/net/src/test/java/org/streamring/net/settings/SettingsSchemaTest.java
@@ -24,12 +24,12 @@
     }
 
     @Test
-    public void everyMistakeIsReportedAtOnce() {
-        SettingsException problem = catchThrowableOfType(
+    public void allErrorsAreReportedTogether() {
+        SettingsException exception = catchThrowableOfType(
                 SettingsException.class,
                 () -> schema.parse("test", "nmae = \"x\"\nmode = \"slow\"\n[listen]\nport = 70000\nwait = \"soon\"\n"));
-        assertThat(problem.mistakes()).hasSize(5);
-        assertThat(problem.getMessage())
+        assertThat(exception.mistakes()).hasSize(5);
+        assertThat(exception.getMessage())
                 .contains(
                         "nmae",
                         "unknown key",
@@ -42,8 +42,8 @@
 
     @Test
     public void textThatIsNotTomlIsReported() {
-        SettingsException problem =
+        SettingsException exception =
                 catchThrowableOfType(SettingsException.class, () -> schema.parse("test", "name = = 1"));
-        assertThat(problem.getMessage()).contains("not TOML");
+        assertThat(exception.getMessage()).contains("not TOML");
     }
 }
