--- a/net/src/main/java/org/streamring/net/process/AdminServer.java
+++ b/net/src/main/java/org/streamring/net/process/AdminServer.java
@@ -18,7 +18,7 @@
 import java.util.function.BooleanSupplier;
 import org.streamring.net.peer.PeerException;
 
-/** Serves {@code /metrics}, {@code /health} and {@code /ready} of a process. */
+/** HTTP server for the {@code /metrics}, {@code /health} and {@code /ready} endpoints of a process. */
 public final class AdminServer {
     private static final int MAX_BODY_BYTES = 1024;
 
@@ -26,7 +26,12 @@
     private final PrometheusMeterRegistry metrics;
     private final BooleanSupplier ready;
 
-    /** Starts to listen. */
+    /**
+     * Binds the address and blocks until the socket is listening. Must not be called on an event loop.
+     *
+     * @param ready whether {@code /ready} returns 200 instead of 503; called on the event loop
+     * @throws PeerException if the address cannot be bound
+     */
     public AdminServer(
             EventLoopGroup loops, InetSocketAddress address, PrometheusMeterRegistry metrics, BooleanSupplier ready)
             throws PeerException {
@@ -36,7 +41,7 @@
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler()));
     }
 
-    /** Port in use. */
+    /** Returns the local port. */
     public int port() {
         return listening.port();
     }
@@ -45,22 +50,26 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             switch (request.uri()) {
-                case "/health" -> answer(context, HttpResponseStatus.OK, "ok\n");
-                case "/ready" -> answerReady(context);
-                case "/metrics" -> answer(context, HttpResponseStatus.OK, metrics.scrape());
-                default -> answer(context, HttpResponseStatus.NOT_FOUND, "known are /health, /ready and /metrics\n");
+                case "/health" -> respond(context, HttpResponseStatus.OK, "ok\n");
+                case "/ready" -> respondReady(context);
+                case "/metrics" -> respond(context, HttpResponseStatus.OK, metrics.scrape());
+                default ->
+                    respond(
+                            context,
+                            HttpResponseStatus.NOT_FOUND,
+                            "not found; available are /health, /ready and /metrics\n");
             }
         }
 
-        private void answerReady(ChannelHandlerContext context) {
+        private void respondReady(ChannelHandlerContext context) {
             if (ready.getAsBoolean()) {
-                answer(context, HttpResponseStatus.OK, "ready\n");
+                respond(context, HttpResponseStatus.OK, "ready\n");
             } else {
-                answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
+                respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
             }
         }
 
-        private static void answer(ChannelHandlerContext context, HttpResponseStatus status, String text) {
+        private static void respond(ChannelHandlerContext context, HttpResponseStatus status, String text) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
--- a/net/src/main/java/org/streamring/net/process/HangUpSignal.java
+++ b/net/src/main/java/org/streamring/net/process/HangUpSignal.java
@@ -5,9 +5,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Lets a process outlive the signal HUP, and tells it of it.
+ * Handles the HUP signal instead of letting it end the process.
  *
- * <p>The JDK's class for signals is reached by reflection, as the compiler refuses a direct use without a warning.
+ * <p>Uses reflection, since the compiler warns about any direct use of the JDK's signal class.
  */
 public final class HangUpSignal {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
@@ -16,9 +16,9 @@
     private HangUpSignal() {}
 
     /**
-     * Calls back on each signal, on a thread of the JDK's.
+     * Installs a callback that runs for each signal, on a thread of the JDK.
      *
-     * @return false if this JDK gives no access to signals
+     * @return false if the JDK does not provide signal handling
      */
     public static boolean listen(Runnable onSignal) {
         try {
--- a/net/src/main/java/org/streamring/net/process/Listening.java
+++ b/net/src/main/java/org/streamring/net/process/Listening.java
@@ -11,44 +11,46 @@
 import java.util.function.Consumer;
 import org.streamring.net.peer.PeerException;
 
-/** A listening TCP socket. */
+/** Listening TCP socket. */
 public final class Listening {
     private final Channel channel;
 
     /**
-     * Starts to listen.
+     * Binds the address and blocks until the socket is listening. Must not be called on an event loop.
      *
-     * @param prepare sets up the pipeline of every accepted connection
+     * @param initializer sets up the pipeline of each accepted connection
+     * @throws PeerException if the address cannot be bound
      */
-    public Listening(EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> prepare)
+    public Listening(EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> initializer)
             throws PeerException {
-        ChannelFuture bound = open(loops, address, prepare).awaitUninterruptibly();
+        ChannelFuture bound = open(loops, address, initializer).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new PeerException("listen", address.toString(), String.valueOf(bound.cause()));
         }
         channel = bound.channel();
     }
 
-    /** Starts to listen without waiting, for callers on an event loop. */
-    public static ChannelFuture open(EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> prepare) {
+    /** Binds the address without blocking; the future completes once the socket is listening. */
+    public static ChannelFuture open(
+            EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> initializer) {
         return new ServerBootstrap()
                 .group(loops)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel accepted) {
-                        prepare.accept(accepted);
+                        initializer.accept(accepted);
                     }
                 })
                 .bind(address);
     }
 
-    /** Port in use. */
+    /** Returns the local port. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Accepts no more connections; open ones stay. */
+    /** Closes the listening socket and blocks until it is closed; accepted connections stay open. */
     public void close() {
         channel.close().awaitUninterruptibly();
     }
--- a/net/src/main/java/org/streamring/net/process/SettingsProgram.java
+++ b/net/src/main/java/org/streamring/net/process/SettingsProgram.java
@@ -7,10 +7,10 @@
 import org.streamring.net.settings.SettingsException;
 import org.streamring.net.settings.SettingsSchema;
 
-/** Command line of a program that runs from a settings file until it is asked to stop. */
+/** Base class of programs that are configured by a settings file and run until the process is asked to stop. */
 public abstract class SettingsProgram {
-    private static final int EXIT_SETTINGS = 2;
-    private static final int EXIT_START = 3;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_START_FAILED = 3;
 
     @Option(name = "--settings", description = "Settings file (TOML)")
     private String settingsFile = "";
@@ -21,27 +21,31 @@
     @Option(name = "--describe-settings", description = "Print every setting as a Markdown table and exit")
     private boolean describe;
 
-    /** What runs until the program is asked to stop. */
+    /** Started program. */
     public interface Running {
-        /** Finishes what is open, then ends. */
+        /** Completes open requests, then stops. */
         void stopInOrder();
     }
 
-    /** Settings that the program knows. */
+    /** Returns the settings supported by the program. */
     protected abstract SettingsSchema schema();
 
-    /** Starts what the program is for. */
+    /**
+     * Starts the program.
+     *
+     * @throws PeerException if an address cannot be bound or a connection cannot be established
+     */
     protected abstract Running start(SettingValues settings) throws PeerException;
 
-    /** Runs the program and returns its exit code. */
+    /** Runs the program until it is stopped; returns the exit code: 0, 2 for invalid settings, 3 for a failed start. */
     public int run() {
         if (describe) {
             System.out.print(schema().describe());
             return 0;
         }
         if (settingsFile.isEmpty()) {
-            System.err.println("--settings FILE must be given; see --describe-settings for what it may hold");
-            return EXIT_SETTINGS;
+            System.err.println("--settings FILE must be given; see --describe-settings for the supported settings");
+            return EXIT_INVALID_SETTINGS;
         }
         try {
             SettingValues settings = schema().read(Path.of(settingsFile));
@@ -49,18 +53,18 @@
                 System.out.println("settings are valid");
                 return 0;
             }
-            StopSignal signal = new StopSignal();
+            StopSignal stopSignal = new StopSignal();
             Running running = start(settings);
-            signal.await();
+            stopSignal.await();
             running.stopInOrder();
-            signal.stopped();
+            stopSignal.stopped();
             return 0;
         } catch (SettingsException e) {
             System.err.println(e.getMessage());
-            return EXIT_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         } catch (PeerException e) {
             System.err.println(e.getMessage());
-            return EXIT_START;
+            return EXIT_START_FAILED;
         }
     }
 }
--- a/net/src/main/java/org/streamring/net/process/StopSignal.java
+++ b/net/src/main/java/org/streamring/net/process/StopSignal.java
@@ -2,27 +2,27 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Waits for the operating system to ask the process to stop, and lets it stop in order. */
+/** Waits for the shutdown of the JVM and delays it until the process has stopped gracefully. */
 public final class StopSignal {
-    private final CountDownLatch asked = new CountDownLatch(1);
+    private final CountDownLatch shutdownRequested = new CountDownLatch(1);
     private final CountDownLatch stopped = new CountDownLatch(1);
 
-    /** Starts to listen for the request. */
+    /** Registers a JVM shutdown hook. */
     public StopSignal() {
-        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "stop-signal"));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::onShutdown, "stop-signal"));
     }
 
-    private void shutDown() {
-        asked.countDown();
+    private void onShutdown() {
+        shutdownRequested.countDown();
         awaitUninterruptibly(stopped);
     }
 
-    /** Waits until the process is asked to stop. */
+    /** Blocks until the shutdown of the JVM begins. */
     public void await() {
-        awaitUninterruptibly(asked);
+        awaitUninterruptibly(shutdownRequested);
     }
 
-    /** Says that the process has stopped what it did. */
+    /** Lets the JVM exit; called once the process has stopped gracefully. */
     public void stopped() {
         stopped.countDown();
     }
--- a/net/src/main/java/org/streamring/net/process/TcpClient.java
+++ b/net/src/main/java/org/streamring/net/process/TcpClient.java
@@ -11,18 +11,18 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Makes TCP connections that send small messages at once. */
+/** Opens TCP connections with Nagle's algorithm disabled, so that small messages are sent immediately. */
 public final class TcpClient {
     private TcpClient() {}
 
     /**
-     * Connects.
+     * Opens a connection without blocking.
      *
-     * @param timeoutMillis longest wait for the connection
-     * @param handlers adds the handlers of a new connection
+     * @param timeoutMillis connect timeout
+     * @param initializer sets up the pipeline of the new connection
      */
     public static ChannelFuture connect(
-            EventLoopGroup loops, InetSocketAddress address, int timeoutMillis, Consumer<Channel> handlers) {
+            EventLoopGroup loops, InetSocketAddress address, int timeoutMillis, Consumer<Channel> initializer) {
         return new Bootstrap()
                 .group(loops)
                 .channel(NioSocketChannel.class)
@@ -31,7 +31,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel created) {
-                        handlers.accept(created);
+                        initializer.accept(created);
                     }
                 })
                 .connect(address);
--- a/net/src/main/java/org/streamring/net/process/WorkerPool.java
+++ b/net/src/main/java/org/streamring/net/process/WorkerPool.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A fixed number of worker threads before a bounded queue. */
+/** Fixed-size pool of daemon threads with a bounded queueCapacity. */
 public final class WorkerPool implements Executor {
     private static final Logger LOGGER = LoggerFactory.getLogger(WorkerPool.class);
 
@@ -18,21 +18,25 @@
     /**
      * Starts the pool.
      *
-     * @param name name of the threads
+     * @param name prefix of the thread names
      * @param threads number of threads
-     * @param queue tasks that may wait
+     * @param queueCapacity capacity of the task queueCapacity
      */
-    public WorkerPool(String name, int threads, int queue) {
+    public WorkerPool(String name, int threads, int queueCapacity) {
         AtomicInteger counter = new AtomicInteger();
-        executor =
-                new ThreadPoolExecutor(threads, threads, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(queue), task -> {
+        executor = new ThreadPoolExecutor(
+                threads, threads, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(queueCapacity), task -> {
                     Thread thread = new Thread(task, name + "-" + counter.incrementAndGet());
                     thread.setDaemon(true);
                     return thread;
                 });
     }
 
-    /** Runs a task; throws {@link RejectedExecutionException} if too many wait. */
+    /**
+     * Runs a task on a worker thread. Exceptions of the task are logged.
+     *
+     * @throws RejectedExecutionException if the queueCapacity is full
+     */
     @Override
     public void execute(Runnable task) {
         executor.execute(() -> runLogged(task));
@@ -46,12 +50,12 @@
         }
     }
 
-    /** Tasks that wait. */
+    /** Returns the number of queued tasks. */
     public int queued() {
         return executor.getQueue().size();
     }
 
-    /** Ends the threads; waiting tasks are dropped. */
+    /** Interrupts the threads and discards queued tasks. */
     public void close() {
         executor.shutdownNow();
     }
--- a/net/src/main/java/org/streamring/net/process/package-info.java
+++ b/net/src/main/java/org/streamring/net/process/package-info.java
@@ -1,4 +1,4 @@
-/** What every program does alike: worker pools, health and metrics pages, ordered stop, incarnations. */
+/** Common parts of all programs: worker pools, health and metrics endpoints, graceful stop, incarnations. */
 @NullMarked
 package org.streamring.net.process;
 
