--- a/net/src/main/java/org/streamring/platform/BillArchive.java
+++ b/net/src/main/java/org/streamring/platform/BillArchive.java
@@ -17,11 +17,11 @@
 /**
  * Itemised bills in the object store.
  *
- * <p>An entry writes a batch before the transaction that settles what it bills, under the transaction's sequence;
- * writing
- * it again is harmless. When an incarnation is closed, its batches after its last committed transaction are void, since
- * that transaction never took effect; the closer bills what they held in batches of its own. An item is known by its
- * attempt, so that one which stands in two batches counts once.
+ * <p>An entry writes a batch of items before the transaction that settles them, under the sequence number of that
+ * transaction; writing the same batch again is harmless. When an incarnation is closed, its batches after its last
+ * committed transaction are void, since their transactions never took effect. The process that closes the incarnation
+ * bills their items in batches of its own. Items are identified by their attempt, so that an item in two batches is
+ * counted once.
  */
 public final class BillArchive {
     private static final String PREFIX = "bills/";
@@ -31,12 +31,12 @@
 
     private final ObjectStore objects;
 
-    /** Creates one. */
+    /** Creates an archive in the object store. */
     public BillArchive(ObjectStore objects) {
         this.objects = objects;
     }
 
-    /** A batch's place. */
+    /** Parsed object name of a batch. */
     private record Name(String incarnation, String kind, String rest) {
         private static Name parse(String name) {
             int slash = name.lastIndexOf('/');
@@ -51,16 +51,16 @@
         }
     }
 
-    /** Writes the batch of an entry's transaction. */
+    /** Writes the batch that belongs to a transaction of an entry. */
     public void writeSettled(String incarnation, long sequence, List<BillItem> items) throws PlatformException {
         write(incarnation, SETTLED + sequence, items);
     }
 
     /**
-     * Writes a batch for a lease of another incarnation.
+     * Writes a batch for a lease of another incarnation, unless there are no items.
      *
-     * @param writer incarnation that settles
-     * @param lease what is settled; part of the name
+     * @param writer incarnation that settles the lease
+     * @param lease settled lease; part of the object name
      */
     public void writeClosing(String incarnation, String writer, String lease, List<BillItem> items)
             throws PlatformException {
@@ -76,9 +76,9 @@
     }
 
     /**
-     * Makes void what an incarnation that is being closed wrote after its last committed transaction.
+     * Voids the batches that an incarnation being closed wrote after its last committed transaction.
      *
-     * @return the items that became void, for the closer to bill
+     * @return the items of the voided batches, to be billed by the caller
      */
     public List<BillItem> takeOver(String incarnation, long lastCommitted) throws PlatformException {
         write(incarnation, CLOSED + lastCommitted, List.of());
@@ -91,7 +91,7 @@
         return items;
     }
 
-    /** Attempts of a lease that are billed. */
+    /** Returns the attempts of a lease that have been billed. */
     public Set<String> billedAttempts(String incarnation, String lease) throws PlatformException {
         Set<String> billed = new HashSet<>();
         for (BillItem item : items(PREFIX + incarnation + "/")) {
@@ -102,25 +102,25 @@
         return billed;
     }
 
-    /** Every item, each once. */
+    /** Returns all valid items, without duplicates. */
     public List<BillItem> items() throws PlatformException {
         return items(PREFIX);
     }
 
     private List<BillItem> items(String prefix) throws PlatformException {
         List<String> names = objects.list(prefix);
-        Map<String, Long> closedAt = new HashMap<>();
+        Map<String, Long> lastCommittedByIncarnation = new HashMap<>();
         for (String name : names) {
             Name parsed = Name.parse(name);
             if (parsed.kind().equals(CLOSED)) {
-                closedAt.put(parsed.incarnation(), Long.parseLong(parsed.rest()));
+                lastCommittedByIncarnation.put(parsed.incarnation(), Long.parseLong(parsed.rest()));
             }
         }
         Map<String, BillItem> byAttempt = new LinkedHashMap<>();
         for (String name : names) {
             Name parsed = Name.parse(name);
-            long valid = closedAt.getOrDefault(parsed.incarnation(), Long.MAX_VALUE);
-            if (!parsed.kind().equals(CLOSED) && !parsed.settledAfter(valid)) {
+            long lastValid = lastCommittedByIncarnation.getOrDefault(parsed.incarnation(), Long.MAX_VALUE);
+            if (!parsed.kind().equals(CLOSED) && !parsed.settledAfter(lastValid)) {
                 read(name).forEach(item -> byAttempt.put(item.attempt(), item));
             }
         }
--- a/net/src/main/java/org/streamring/platform/PlatformProvider.java
+++ b/net/src/main/java/org/streamring/platform/PlatformProvider.java
@@ -7,21 +7,25 @@
 import org.streamring.kernel.table.ObjectStore;
 import org.streamring.kernel.table.PlatformTable;
 
-/** A kind of platform. Implementations register themselves with {@link ServiceLoader}. */
+/** Service provider for a kind of platform; discovered by {@link ServiceLoader}. */
 public interface PlatformProvider {
-    /** Name used in settings. */
+    /** Returns the name by which settings select this provider. */
     String name();
 
     /**
-     * Opens the platform's services.
+     * Opens the services of the platform.
      *
      * @param base address of the platform
-     * @param key the platform's access key of this process or operator
-     * @param timeout longest wait for one answer
+     * @param key access key of the process or operator
+     * @param timeout timeout of a single call
      */
     Platform open(URI base, String key, Duration timeout);
 
-    /** Finds a provider by name. */
+    /**
+     * Returns the provider with the name.
+     *
+     * @throws IllegalArgumentException if there is none on the class path
+     */
     static PlatformProvider named(String name) {
         return ServiceLoader.load(PlatformProvider.class).stream()
                 .map(ServiceLoader.Provider::get)
@@ -31,12 +35,12 @@
     }
 
     /**
-     * The services of one platform.
+     * Services of a platform.
      *
      * @param table transactional table
      * @param objects object store
      * @param boxes list of boxes
-     * @param closer releases what the adapters hold
+     * @param closer releases the resources of the adapters
      */
     record Platform(PlatformTable table, ObjectStore objects, BoxList boxes, Runnable closer) implements AutoCloseable {
         @Override
--- a/net/src/main/java/org/streamring/platform/http/HttpBoxList.java
+++ b/net/src/main/java/org/streamring/platform/http/HttpBoxList.java
@@ -5,7 +5,7 @@
 import org.streamring.kernel.table.PlatformException;
 import org.streamring.model.box.BackendServer;
 
-/** The box list over HTTP. */
+/** Client of the box list over HTTP. */
 public final class HttpBoxList implements BoxList {
     private final PlatformHttpClient client;
 
@@ -18,6 +18,6 @@
         return client.get("list-boxes", "/v1/boxes", Boxes.class).backendServers();
     }
 
-    /** Answer of the box list. */
+    /** Response of the box list. */
     public record Boxes(List<BackendServer> backendServers) {}
 }
--- a/net/src/main/java/org/streamring/platform/http/HttpObjectStore.java
+++ b/net/src/main/java/org/streamring/platform/http/HttpObjectStore.java
@@ -9,7 +9,7 @@
 import org.streamring.platform.http.PlatformHttpClient.NotFoundException;
 import org.streamring.platform.http.TableMessages.NamesAnswer;
 
-/** The object store over HTTP. */
+/** Object store client over HTTP. */
 final class HttpObjectStore implements ObjectStore {
     private static final String PATH = "/v1/objects";
 
--- a/net/src/main/java/org/streamring/platform/http/HttpPlatformProvider.java
+++ b/net/src/main/java/org/streamring/platform/http/HttpPlatformProvider.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import org.streamring.platform.PlatformProvider;
 
-/** Opens a platform that speaks HTTP with JSON. */
+/** Provider of platforms that are accessed over HTTP and JSON. */
 public final class HttpPlatformProvider implements PlatformProvider {
     @Override
     public String name() {
--- a/net/src/main/java/org/streamring/platform/http/HttpPlatformTable.java
+++ b/net/src/main/java/org/streamring/platform/http/HttpPlatformTable.java
@@ -12,7 +12,7 @@
 import org.streamring.platform.http.TableMessages.TransactAnswer;
 import org.streamring.platform.http.TableMessages.TransactCall;
 
-/** The table service over HTTP. */
+/** Table service client over HTTP. */
 final class HttpPlatformTable implements PlatformTable {
     private final PlatformHttpClient client;
 
--- a/net/src/main/java/org/streamring/platform/http/PlatformHttpClient.java
+++ b/net/src/main/java/org/streamring/platform/http/PlatformHttpClient.java
@@ -12,7 +12,7 @@
 import org.streamring.kernel.table.PlatformException;
 import org.streamring.kernel.table.RowText;
 
-/** Calls the platform and waits for the answer. Never repeats a call by itself. */
+/** Blocking HTTP client of the platform. Never retries a call. */
 final class PlatformHttpClient {
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
@@ -75,7 +75,7 @@
         try {
             return RowText.read(response.getResponseBody(), type);
         } catch (UncheckedIOException e) {
-            throw new PlatformException(step, base.toString(), "unreadable answer: " + e.getMessage());
+            throw new PlatformException(step, base.toString(), "malformed response: " + e.getMessage());
         }
     }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /** The thing asked for does not exist. */
+    /** Thrown if the platform responds with status 404. */
     static final class NotFoundException extends PlatformException {
         private static final long serialVersionUID = 1L;
 
--- a/net/src/main/java/org/streamring/platform/http/TableMessages.java
+++ b/net/src/main/java/org/streamring/platform/http/TableMessages.java
@@ -11,27 +11,27 @@
 import org.streamring.kernel.table.TransactionResult.Failure;
 import org.streamring.kernel.table.TransactionResult.Rejected;
 
-/** JSON messages of the table service. */
+/** JSON messages of the table service and the object store. */
 public final class TableMessages {
     private TableMessages() {}
 
-    /** Body of a transaction call. */
+    /** Request body of a transaction. */
     public record TransactCall(String id, List<Operation> operations) {
-        /** Converts. */
+        /** Creates the request body of a transaction. */
         public static TransactCall of(Transaction transaction) {
             return new TransactCall(
                     transaction.id(),
                     transaction.operations().stream().map(Operation::of).toList());
         }
 
-        /** Converts. */
+        /** Returns the transaction of this request body. */
         public Transaction toTransaction() {
             return new Transaction(
                     id, operations.stream().map(Operation::toRowOperation).toList());
         }
     }
 
-    /** One operation; which fields matter depends on {@code op}. */
+    /** Operation of a transaction; {@code op} determines which other fields are used. */
     public record Operation(
             String op,
             String key,
@@ -67,15 +67,15 @@
         }
     }
 
-    /** Answer to a transaction call. */
+    /** Response to a transaction. */
     public record TransactAnswer(
             boolean committed,
             @Nullable List<Row> rows,
             @Nullable List<FailedOperation> failures) {
-        /** Converts. */
+        /** Creates the response for the result of a transaction. */
         public static TransactAnswer of(TransactionResult result) {
-            if (result instanceof Committed done) {
-                return new TransactAnswer(true, done.rows(), null);
+            if (result instanceof Committed success) {
+                return new TransactAnswer(true, success.rows(), null);
             }
             return new TransactAnswer(
                     false,
@@ -87,7 +87,7 @@
                                     .toList());
         }
 
-        /** Converts. */
+        /** Returns the result of the transaction. */
         public TransactionResult toResult() {
             if (committed) {
                 return new Committed(rows == null ? List.of() : rows);
@@ -99,18 +99,18 @@
         }
     }
 
-    /** An operation whose condition did not hold. */
+    /** Operation whose condition was not met, with the current row if it exists. */
     public record FailedOperation(String key, @Nullable Row current) {}
 
-    /** Body of a read call. */
+    /** Request body of a read. */
     public record ReadCall(List<String> keys) {}
 
-    /** Body of a scan call. */
+    /** Request body of a scan. */
     public record ScanCall(String prefix, String after, int limit) {}
 
-    /** Answer to a read or scan call. */
+    /** Response to a read or scan. */
     public record RowsAnswer(List<Row> rows) {}
 
-    /** Answer to a list call of the object store. */
+    /** Response to a list request of the object store. */
     public record NamesAnswer(List<String> names) {}
 }
--- a/net/src/main/java/org/streamring/platform/http/package-info.java
+++ b/net/src/main/java/org/streamring/platform/http/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's services over HTTP with JSON, as docs/platform-protocol.md describes them. */
+/** Clients of the platform services over HTTP and JSON, as specified in docs/platform-protocol.md. */
 @NullMarked
 package org.streamring.platform.http;
 
--- a/net/src/main/java/org/streamring/platform/node/ForwardingHeaders.java
+++ b/net/src/main/java/org/streamring/platform/node/ForwardingHeaders.java
@@ -5,20 +5,20 @@
 /**
  * Names of the headers that callers, entries and backend servers exchange.
  *
- * @param requestId identifies a request; the answer repeats it
- * @param deadline milliseconds that the caller will wait
- * @param signature proves that an answer is a backend server's
- * @param account name of the client account, set by the entry
- * @param expectedInstance the only incarnation that may take the request
- * @param notRun says that the backend server has not run the request and never will
- * @param leaving says, as 1, that the backend server leaves and takes nothing new
- * @param limit says how many requests a second the backend server takes from all entries together
- * @param tokens tokens of the prompt, and the most of the answer
- * @param promptParts parts of the prompt in order
- * @param lengthHint tokens of the answer that the caller expects
- * @param urgency rank for the backend server's queue
- * @param lastEventId last event of a stream that the receiver has
- * @param reserved headers that only entries may set; removed from callers' requests
+ * @param requestId identifier of a request, repeated in the response
+ * @param deadline time in milliseconds that the caller will wait for the response
+ * @param signature proof that a response was sent by a backend server
+ * @param account name of the client account; set by the entry
+ * @param expectedInstance only incarnation that may accept the request
+ * @param notRun set if the backend server has not run the request and never will
+ * @param leaving 1 if the backend server is shutting down and accepts no new requests
+ * @param limit requests per second that the backend server accepts from all entries together
+ * @param tokens number of prompt tokens and maximum number of answer tokens
+ * @param promptParts parts of the prompt, in order
+ * @param lengthHint number of answer tokens expected by the caller
+ * @param urgency rank of the request in the queue of the backend server
+ * @param lastEventId identifier of the last stream event received
+ * @param reserved headers that only entries may set; removed from requests of callers
  */
 public record ForwardingHeaders(
         String requestId,
@@ -35,7 +35,7 @@
         String urgency,
         String lastEventId,
         Set<String> reserved) {
-    /** Copies the set. */
+    /** Copies the set of reserved headers. */
     public ForwardingHeaders {
         reserved = Set.copyOf(reserved);
     }
--- a/net/src/main/java/org/streamring/platform/node/MalformedRowException.java
+++ b/net/src/main/java/org/streamring/platform/node/MalformedRowException.java
@@ -1,10 +1,10 @@
 package org.streamring.platform.node;
 
-/** A row of the store can't be understood. */
+/** Thrown if a row of the store cannot be parsed. */
 public final class MalformedRowException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates one that names the row and what is wrong with it. */
+    /** Creates an exception with the name of the row and a description of the error. */
     public MalformedRowException(String row, String reason) {
         super("row " + row + ": " + reason);
     }
--- a/net/src/main/java/org/streamring/platform/node/NodePlatform.java
+++ b/net/src/main/java/org/streamring/platform/node/NodePlatform.java
@@ -3,20 +3,20 @@
 import org.streamring.kernel.store.RowStore;
 import org.streamring.net.settings.SettingsException;
 
-/** The platform as one process meets it. */
+/** Platform services and settings available to one process. */
 public interface NodePlatform {
-    /** Reads the settings as they stand now. */
+    /** Reads the current settings. */
     NodeSettings readSettings() throws SettingsException;
 
-    /** Headers of requests and answers. */
+    /** Returns the names of the request and response headers. */
     ForwardingHeaders headers();
 
-    /** The store; its futures complete on the process's event loop. */
+    /** Returns the store; its futures complete on the event loop of the process. */
     RowStore store();
 
-    /** What operator and backend servers write to the store. */
+    /** Returns the parser of the rows written by the operator and the backend servers. */
     OperatorRows operatorRows();
 
-    /** Path of the balancer's question whether the process is ready. */
+    /** Returns the path of the readiness checks of the load balancer. */
     String readinessPath();
 }
--- a/net/src/main/java/org/streamring/platform/node/NodeSettings.java
+++ b/net/src/main/java/org/streamring/platform/node/NodeSettings.java
@@ -9,16 +9,16 @@
  *
  * @param nodeName name of the box
  * @param failureDomain failure domain of the box
- * @param callers address where callers connect
- * @param readiness address where the balancer asks whether the process is ready
- * @param peers address where other entries connect
- * @param metrics address where metrics are served
- * @param grace time from the signal to stop to the forced end
- * @param keepLapsed how long a backend server's lapsed entry is kept after the store is back
- * @param drainTime how long a backend server serves after it said that it leaves
- * @param retries limit on retries that all entries share
- * @param cold what a cold backend server bears beyond its rate
- * @param linkBytesPerSecond what the box's own link carries; empty if the platform doesn't say
+ * @param callers listening address for callers
+ * @param readiness listening address for the readiness checks of the load balancer
+ * @param peers listening address for other entries
+ * @param metrics listening address for the metrics endpoint
+ * @param grace time from the stop signal until the process is killed
+ * @param keepLapsed how long the lapsed entry of a backend server is kept after the end of a store outage
+ * @param drainTime how long a backend server keeps serving after announcing its shutdown
+ * @param retries retry limit shared by all entries
+ * @param cold short-term load that a cold backend server can handle above its rate
+ * @param linkBytesPerSecond bandwidth of the network link of the box; empty if the platform does not specify it
  */
 public record NodeSettings(
         String nodeName,
@@ -35,22 +35,22 @@
         OptionalLong linkBytesPerSecond) {
 
     /**
-     * A limit on retries: in every window, retries &le; ratio × requests + slack.
+     * Retry limit: in every window, retries &le; ratio × requests + slack.
      *
      * @param ratio retries per request
-     * @param slack retries besides
+     * @param slack additional retries per window
      * @param window length of the window
      */
     public record RetryLimit(double ratio, double slack, Duration window) {}
 
     /**
-     * What a cold backend server bears in any second: factor × its rate + slack.
+     * Maximum number of requests that a cold backend server can handle in any second: factor × its rate + slack.
      *
-     * @param factor of its rate
-     * @param slack requests besides
+     * @param factor multiple of its rate
+     * @param slack additional requests
      */
     public record ColdMargin(double factor, double slack) {
-        /** Requests in any second beyond which the server may fall over. */
+        /** Returns the number of requests in any second above which the backend server may crash. */
         public double mostInSecond(double perSecond) {
             return factor * perSecond + slack;
         }
--- a/net/src/main/java/org/streamring/platform/node/OperatorRows.java
+++ b/net/src/main/java/org/streamring/platform/node/OperatorRows.java
@@ -5,33 +5,33 @@
 import org.streamring.kernel.store.StoredRow;
 import org.streamring.model.route.RoutingConfiguration;
 
-/** Reads what the operator and the backend servers write to the store. */
+/** Parses the rows that the operator and the backend servers write to the store. */
 public interface OperatorRows {
-    /** Table that holds the configuration and the evacuations. */
+    /** Returns the name of the table with the configuration and the evacuations. */
     String configurationTable();
 
-    /** Table that holds the backend servers, by their identifier. */
+    /** Returns the name of the table with the backend servers, keyed by identifier. */
     String backendTable();
 
     /**
-     * Reads the configuration.
+     * Parses the configuration.
      *
-     * @return empty if the row holds something else
-     * @throws MalformedRowException if the row can't be understood
+     * @return empty if the row is not a configuration
+     * @throws MalformedRowException if the row cannot be parsed
      */
     Optional<RoutingConfiguration> configuration(StoredRow row) throws MalformedRowException;
 
     /**
-     * Reads an evacuation: while its row is there, nothing new goes to the backend servers of a failure domain.
+     * Parses an evacuation. While its row exists, no new requests are sent to the backend servers of a failure domain.
      *
-     * @return the failure domain; empty if the row holds something else
+     * @return the failure domain; empty if the row is not an evacuation
      */
     Optional<String> evacuated(StoredRow row);
 
     /**
-     * Reads a backend server's entry.
+     * Parses the entry of a backend server.
      *
-     * @throws MalformedRowException if the row can't be understood
+     * @throws MalformedRowException if the row cannot be parsed
      */
     BackendInstance backend(StoredRow row) throws MalformedRowException;
 }
--- a/net/src/main/java/org/streamring/platform/node/package-info.java
+++ b/net/src/main/java/org/streamring/platform/node/package-info.java
@@ -1,4 +1,4 @@
-/** What a platform must give an entry that sends requests to backend servers directly. */
+/** Platform interfaces for entries that send requests to backend servers directly. */
 @NullMarked
 package org.streamring.platform.node;
 
--- a/net/src/main/java/org/streamring/platform/package-info.java
+++ b/net/src/main/java/org/streamring/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Adapters to the platform's services; plug-ins found by ServiceLoader. */
+/** Adapters to the services of the platform, discovered by {@link java.util.ServiceLoader}. */
 @NullMarked
 package org.streamring.platform;
 
