--- a/net/src/main/java/org/streamring/net/log/LogConfigurator.java
+++ b/net/src/main/java/org/streamring/net/log/LogConfigurator.java
@@ -12,24 +12,24 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Configures Logback in code, since reading a configuration file takes a third of the start of an entry.
+ * Configures Logback in code, since reading a configuration file takes a third of the start-up time of an entry.
  *
- * <p>Lines go to standard error, as text or, with {@code -Dstreamring.log=json}, as JSON. {@code streamring.log.level}
- * sets the level. A file named by {@code logback.configurationFile} goes first.
+ * <p>Events are written to standard error, as text or, with {@code -Dstreamring.log=json}, as JSON. The system property
+ * {@code streamring.log.level} sets the level. A file set by {@code logback.configurationFile} takes precedence.
  */
 public final class LogConfigurator extends ContextAwareBase implements Configurator {
-    private static final String FORMAT = "streamring.log";
-    private static final String LEVEL = "streamring.log.level";
-    private static final String OWN_FILE = "logback.configurationFile";
-    private static final String TO_STANDARD_ERROR = "System.err";
+    private static final String FORMAT_PROPERTY = "streamring.log";
+    private static final String LEVEL_PROPERTY = "streamring.log.level";
+    private static final String CONFIGURATION_FILE_PROPERTY = "logback.configurationFile";
+    private static final String STANDARD_ERROR = "System.err";
 
     @Override
     public ExecutionStatus configure(LoggerContext loggers) {
-        if (System.getProperty(OWN_FILE) != null) {
+        if (System.getProperty(CONFIGURATION_FILE_PROPERTY) != null) {
             return ExecutionStatus.INVOKE_NEXT_IF_ANY;
         }
         Logger root = loggers.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.toLevel(System.getProperty(LEVEL), Level.INFO));
+        root.setLevel(Level.toLevel(System.getProperty(LEVEL_PROPERTY), Level.INFO));
         root.addAppender(console(loggers));
         loggers.getLogger("io.netty").setLevel(Level.WARN);
         loggers.getLogger("org.asynchttpclient").setLevel(Level.WARN);
@@ -39,7 +39,7 @@
     private static ConsoleAppender<ILoggingEvent> console(LoggerContext loggers) {
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(loggers);
-        console.setTarget(TO_STANDARD_ERROR);
+        console.setTarget(STANDARD_ERROR);
         console.setEncoder(encoder(loggers));
         console.start();
         return console;
@@ -47,7 +47,7 @@
 
     private static Encoder<ILoggingEvent> encoder(LoggerContext loggers) {
         Encoder<ILoggingEvent> encoder =
-                "json".equals(System.getProperty(FORMAT)) ? jsonEncoder() : textEncoder(loggers);
+                "json".equals(System.getProperty(FORMAT_PROPERTY)) ? jsonEncoder() : textEncoder(loggers);
         encoder.setContext(loggers);
         encoder.start();
         return encoder;
--- a/net/src/main/java/org/streamring/net/log/TextLayout.java
+++ b/net/src/main/java/org/streamring/net/log/TextLayout.java
@@ -9,13 +9,16 @@
 import java.time.format.DateTimeFormatter;
 import java.util.Locale;
 
-/** One line of text for each event: time in UTC, level, logger's class, message, and the top of a stack trace. */
+/**
+ * Formats an event as one line with UTC time, level, class of the logger and message, followed by the top of the stack
+ * trace if there is one.
+ */
 final class TextLayout extends LayoutBase<ILoggingEvent> {
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern(
                     "uuuu-MM-dd'T'HH:mm:ss.SSSXXX", Locale.ROOT)
             .withZone(ZoneOffset.UTC);
     private static final int LEVEL_WIDTH = 6;
-    private static final int STACK_LINES = 5;
+    private static final int MAX_STACK_FRAMES = 5;
 
     @Override
     public String doLayout(ILoggingEvent event) {
@@ -45,7 +48,7 @@
                 .append(failure.getMessage())
                 .append('\n');
         StackTraceElementProxy[] stack = failure.getStackTraceElementProxyArray();
-        for (int i = 0; i < Math.min(STACK_LINES, stack.length); i++) {
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, stack.length); i++) {
             line.append("\t").append(stack[i]).append('\n');
         }
         if (failure.getCause() != null) {
--- a/net/src/main/java/org/streamring/net/log/package-info.java
+++ b/net/src/main/java/org/streamring/net/log/package-info.java
@@ -1,4 +1,4 @@
-/** How the programs log. */
+/** Logback configuration and log format of all programs. */
 @NullMarked
 package org.streamring.net.log;
 
--- a/net/src/test/java/org/streamring/net/log/LogConfiguratorTest.java
+++ b/net/src/test/java/org/streamring/net/log/LogConfiguratorTest.java
@@ -20,13 +20,13 @@
     private final LoggerContext context = new LoggerContext();
 
     @AfterMethod(alwaysRun = true)
-    public void forgetFormat() {
+    public void resetFormat() {
         context.reset();
         System.clearProperty("streamring.log");
     }
 
     @Test
-    public void itIsTheOneThatLogbackFinds() {
+    public void logbackUsesThisConfigurator() {
         Logger root = (Logger) LoggerFactory.getLogger(Logger.ROOT_LOGGER_NAME);
         assertThat(root.iteratorForAppenders().next()).isInstanceOf(ConsoleAppender.class);
         Logger netty = (Logger) LoggerFactory.getLogger("io.netty.anything");
@@ -35,12 +35,12 @@
     }
 
     @Test
-    public void aLineOfTextHasTimeLevelClassAndMessage() {
+    public void aTextLineHasTimeLevelClassAndMessage() {
         assertThat(encoded(null)).isEqualTo("2026-12-02T10:00:00.250Z WARN  PeerTable peer_lost peer=a\n");
     }
 
     @Test
-    public void aFailureIsFollowedByTheTopOfItsStackAndItsCause() {
+    public void anExceptionIsFollowedByTheTopOfItsStackTraceAndItsCause() {
         IllegalStateException failure = new IllegalStateException("broken", new IllegalArgumentException("why"));
         assertThat(encoded(failure).lines())
                 .contains("java.lang.IllegalStateException: broken")
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void jsonIsWrittenWhereAsked() {
+    public void jsonIsWrittenIfConfigured() {
         System.setProperty("streamring.log", "json");
         assertThat(encoded(null))
                 .startsWith("{")
