--- a/sidecar/src/main/java/org/streamring/sidecar/AnswerRecord.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/AnswerRecord.java
@@ -10,26 +10,27 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * The answer to one attempt, running or kept, and those to whom it is delivered. One who comes late gets what went
- * before first. Guarded by itself; the lock is a leaf.
+ * The answer to one attempt, which may still be running, and its subscribers. If the answer is retained, a new
+ * subscriber first receives all earlier frames. Guarded by its own monitor, which is a leaf lock: no other lock of the
+ * sidecar is acquired while it is held.
  */
 final class AnswerRecord {
     private final List<Subscriber> subscribers = new ArrayList<>();
     private final List<Frame> frames = new ArrayList<>();
-    private final boolean keep;
-    private long bytes;
+    private final boolean retain;
+    private long retainedBytes;
 
     /**
-     * One to whom the answer is delivered.
+     * A recipient of the answer.
      *
      * @param connection connection to the entry
-     * @param attempt the entry's attempt, under which frames are addressed
-     * @param owner whether this attempt pays
+     * @param attempt the entry's identifier of the attempt, set in each frame
+     * @param owner whether this attempt is billed
      */
     record Subscriber(PeerConnection connection, String attempt, boolean owner) {}
 
-    AnswerRecord(boolean keep) {
-        this.keep = keep;
+    AnswerRecord(boolean retain) {
+        this.retain = retain;
     }
 
     synchronized void subscribe(Subscriber subscriber) {
@@ -37,26 +38,26 @@
         subscribers.add(subscriber);
     }
 
-    /** Delivers a frame to all, and keeps it if it may be asked for again. */
+    /** Sends a frame to all subscribers, and stores it if the answer is retained. */
     synchronized void deliver(Frame frame) {
-        if (keep) {
+        if (retain) {
             frames.add(frame);
-            bytes += frame.getSerializedSize();
+            retainedBytes += frame.getSerializedSize();
         }
         subscribers.forEach(subscriber -> subscriber.connection().send(addressed(frame, subscriber)));
     }
 
-    synchronized long bytes() {
-        return bytes;
+    synchronized long retainedBytes() {
+        return retainedBytes;
     }
 
-    /** Removes those of a closed connection; returns whether nobody is left. */
+    /** Removes the subscribers of a closed connection. Returns true if any was removed and none is left. */
     synchronized boolean unsubscribe(PeerConnection connection) {
         boolean removed = subscribers.removeIf(subscriber -> subscriber.connection() == connection);
         return removed && subscribers.isEmpty();
     }
 
-    /** Removes one attempt; returns whether nobody is left. */
+    /** Removes the subscriber of an attempt. Returns true if it was removed and none is left. */
     synchronized boolean unsubscribe(String attempt) {
         boolean removed =
                 subscribers.removeIf(subscriber -> subscriber.attempt().equals(attempt));
@@ -86,7 +87,7 @@
                 builder.getEndBuilder()
                         .setAttempt(subscriber.attempt())
                         .setBilled(subscriber.owner() && frame.getEnd().getBilled());
-            default -> throw new IllegalArgumentException("not part of an answer: " + frame.getBodyCase());
+            default -> throw new IllegalArgumentException("frame is not part of an answer: " + frame.getBodyCase());
         }
         return builder.build();
     }
--- a/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
@@ -22,22 +22,22 @@
 import org.streamring.sidecar.backend.BackendClient;
 import org.streamring.sidecar.backend.BackendListener;
 
-/** Runs the attempts that the receipt book admits, and delivers their answers. */
+/** Runs the attempts that the receipt store admits, and sends their answers to the entries. */
 final class AttemptRunner {
     private final String incarnation;
-    private final ReceiptBook book;
+    private final ReceiptBook receiptStore;
     private final BackendClient backend;
     private final MeterRegistry metrics;
-    private final Map<String, Running> attempts = new ConcurrentHashMap<>();
-    private final Map<String, AnswerRecord> kept = new ConcurrentHashMap<>();
+    private final Map<String, RunningAttempt> runningAttempts = new ConcurrentHashMap<>();
+    private final Map<String, AnswerRecord> retainedAnswers = new ConcurrentHashMap<>();
 
-    private static final class Running {
+    private static final class RunningAttempt {
         private final AttemptOrder order;
         private final AnswerRecord answer;
         private volatile java.util.Optional<BackendCall> call = java.util.Optional.empty();
         private volatile boolean cancelled;
 
-        private Running(AttemptOrder order) {
+        private RunningAttempt(AttemptOrder order) {
             this.order = order;
             this.answer = new AnswerRecord(order.keepAnswer());
         }
@@ -48,9 +48,9 @@
         }
     }
 
-    AttemptRunner(String incarnation, ReceiptBook book, BackendClient backend, MeterRegistry metrics) {
+    AttemptRunner(String incarnation, ReceiptBook receiptStore, BackendClient backend, MeterRegistry metrics) {
         this.incarnation = incarnation;
-        this.book = book;
+        this.receiptStore = receiptStore;
         this.backend = backend;
         this.metrics = metrics;
     }
@@ -65,11 +65,11 @@
             return;
         }
         AttemptOrder order = order(submit);
-        AdmitDecision decision = book.admit(order, now());
+        AdmitDecision decision = receiptStore.admit(order, nowMillis());
         if (decision instanceof AdmitDecision.Refuse refuse) {
             refuse(from, submit.getAttempt(), refuse.reason());
         } else if (decision instanceof AdmitDecision.RanBefore) {
-            ranBefore(from, submit.getAttempt());
+            refuseAsAlreadyRun(from, submit.getAttempt());
         } else if (decision instanceof AdmitDecision.Attach attach) {
             attach(from, submit, attach.originalAttempt());
         } else {
@@ -95,10 +95,10 @@
 
     private void attach(PeerConnection from, Submit submit, String original) {
         count("attached");
-        Running running = attempts.get(original);
-        AnswerRecord answer = running == null ? kept.get(original) : running.answer;
+        RunningAttempt running = runningAttempts.get(original);
+        AnswerRecord answer = running == null ? retainedAnswers.get(original) : running.answer;
         if (answer == null) {
-            ranBefore(from, submit.getAttempt());
+            refuseAsAlreadyRun(from, submit.getAttempt());
             return;
         }
         answer.subscribe(new AnswerRecord.Subscriber(from, submit.getAttempt(), false));
@@ -106,20 +106,20 @@
 
     private void run(PeerConnection from, Submit submit, AttemptOrder order) {
         count("run");
-        Running running = new Running(order);
+        RunningAttempt running = new RunningAttempt(order);
         running.answer.subscribe(new AnswerRecord.Subscriber(from, order.attempt(), true));
-        attempts.put(order.attempt(), running);
-        running.call = java.util.Optional.of(backend.start(submit, new Delivery(running, from)));
+        runningAttempts.put(order.attempt(), running);
+        running.call = java.util.Optional.of(backend.start(submit, new AnswerForwarder(running, from)));
         if (running.cancelled) {
             running.cancel();
         }
     }
 
-    private final class Delivery implements BackendListener {
-        private final Running running;
+    private final class AnswerForwarder implements BackendListener {
+        private final RunningAttempt running;
         private final PeerConnection from;
 
-        private Delivery(Running running, PeerConnection from) {
+        private AnswerForwarder(RunningAttempt running, PeerConnection from) {
             this.running = running;
             this.from = from;
         }
@@ -145,8 +145,8 @@
             count("failed");
             End.Builder end = End.newBuilder().setComplete(false).setProblem(problem);
             if (running.order.repeatable() && !running.cancelled) {
-                attempts.remove(running.order.attempt());
-                book.brokeOff(running.order, now());
+                runningAttempts.remove(running.order.attempt());
+                receiptStore.brokeOff(running.order, nowMillis());
                 deliverEnd(Usage.NONE, end);
             } else {
                 end(usage, end);
@@ -156,10 +156,11 @@
         private void end(Usage usage, End.Builder end) {
             AttemptOrder order = running.order;
             if (order.keepAnswer()) {
-                kept.put(order.attempt(), running.answer);
+                retainedAnswers.put(order.attempt(), running.answer);
             }
-            attempts.remove(order.attempt());
-            book.end(order, usage, order.keepAnswer() ? Math.max(1, running.answer.bytes()) : 0, now());
+            runningAttempts.remove(order.attempt());
+            receiptStore.end(
+                    order, usage, order.keepAnswer() ? Math.max(1, running.answer.retainedBytes()) : 0, nowMillis());
             deliverEnd(usage, end);
         }
 
@@ -174,8 +175,8 @@
         @Override
         public void notForwarded(String problem) {
             AttemptOrder order = running.order;
-            attempts.remove(order.attempt());
-            book.notForwarded(order, now());
+            runningAttempts.remove(order.attempt());
+            receiptStore.notForwarded(order, nowMillis());
             refuse(from, order.attempt(), RefusalReason.BACKEND_UNREACHABLE);
         }
     }
@@ -190,7 +191,7 @@
                 .build());
     }
 
-    private void ranBefore(PeerConnection to, String attempt) {
+    private void refuseAsAlreadyRun(PeerConnection to, String attempt) {
         to.send(Frame.newBuilder()
                 .setRefused(Refused.newBuilder()
                         .setAttempt(attempt)
@@ -201,37 +202,40 @@
 
     Load load() {
         return Load.newBuilder()
-                .setRunning(book.running())
-                .setCapacity(book.capacity())
-                .setLeaving(book.isLeaving())
+                .setRunning(receiptStore.running())
+                .setCapacity(receiptStore.capacity())
+                .setLeaving(receiptStore.isLeaving())
                 .build();
     }
 
-    /** A caller is gone; work that nobody else waits for and nobody can ask for again is cancelled. */
+    /** Cancels an attempt whose caller has disconnected, unless its answer is retained for retries. */
     void cancel(String attempt) {
-        Running running = attempts.get(attempt);
+        RunningAttempt running = runningAttempts.get(attempt);
         if (running != null && !running.order.keepAnswer()) {
             running.cancel();
         }
     }
 
-    /** An entry's connection is gone. */
+    /**
+     * Removes the subscriptions of a closed connection. Cancels attempts that have no subscriber left, unless their
+     * answers are retained for retries.
+     */
     void disconnected(PeerConnection connection) {
-        attempts.values().forEach(running -> {
-            boolean alone = running.answer.unsubscribe(connection);
-            if (alone && !running.order.keepAnswer()) {
+        runningAttempts.values().forEach(running -> {
+            boolean noSubscriberLeft = running.answer.unsubscribe(connection);
+            if (noSubscriberLeft && !running.order.keepAnswer()) {
                 running.cancel();
             }
         });
-        kept.values().forEach(answer -> answer.unsubscribe(connection));
+        retainedAnswers.values().forEach(answer -> answer.unsubscribe(connection));
     }
 
-    /** Drops old answers and breaks off cancelled calls whose end does not come. */
-    void tidy() {
-        book.expire(now()).forEach(kept::remove);
-        attempts.values()
-                .forEach(running ->
-                        running.call.filter(call -> call.overdue(now())).ifPresent(BackendCall::breakOff));
+    /** Removes expired answers and aborts cancelled calls that did not end in time. */
+    void cleanUp() {
+        receiptStore.expire(nowMillis()).forEach(retainedAnswers::remove);
+        runningAttempts.values().forEach(running -> running.call
+                .filter(call -> call.overdue(nowMillis()))
+                .ifPresent(BackendCall::abortOverdue));
     }
 
     private void count(String result) {
@@ -242,7 +246,7 @@
                 .increment();
     }
 
-    private static long now() {
+    private static long nowMillis() {
         return System.currentTimeMillis();
     }
 }
--- a/sidecar/src/main/java/org/streamring/sidecar/EntryFrames.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/EntryFrameHandler.java
@@ -15,17 +15,17 @@
 import org.streamring.net.peer.PeerIdentity;
 import org.streamring.net.peer.PeerListener;
 
-/** Acts on the frames of entries. */
-final class EntryFrames implements PeerListener {
-    private static final Logger LOGGER = LoggerFactory.getLogger(EntryFrames.class);
+/** Handles the frames that entries send to this sidecar. */
+final class EntryFrameHandler implements PeerListener {
+    private static final Logger LOGGER = LoggerFactory.getLogger(EntryFrameHandler.class);
 
-    private final ReceiptBook book;
+    private final ReceiptBook receiptStore;
     private final AttemptRunner runner;
-    private long orderVersion;
+    private long lastOrderVersion;
     private boolean stopping;
 
-    EntryFrames(ReceiptBook book, AttemptRunner runner) {
-        this.book = book;
+    EntryFrameHandler(ReceiptBook receiptStore, AttemptRunner runner) {
+        this.receiptStore = receiptStore;
         this.runner = runner;
     }
 
@@ -49,20 +49,21 @@
         switch (frame.getBodyCase()) {
             case SUBMIT -> runner.submit(from, frame.getSubmit());
             case CANCEL -> runner.cancel(frame.getCancel().getAttempt());
-            case PING -> pinged(from, frame.getPing());
+            case PING -> answerPing(from, frame.getPing());
             case FENCE_QUERY ->
                 reply(
                         from,
                         frame.getFenceQuery().getQuery(),
-                        book.fence(frame.getFenceQuery().getEntryIncarnation()));
-            case RECEIPT_QUERY -> queried(from, frame.getReceiptQuery());
-            case LEASES_SETTLED -> book.forgetLeases(frame.getLeasesSettled().getLeaseIdsList());
+                        receiptStore.fence(frame.getFenceQuery().getEntryIncarnation()));
+            case RECEIPT_QUERY -> answerReceiptQuery(from, frame.getReceiptQuery());
+            case LEASES_SETTLED ->
+                receiptStore.forgetLeases(frame.getLeasesSettled().getLeaseIdsList());
             default -> LOGGER.debug("frame_ignored peer={} kind={}", from, frame.getBodyCase());
         }
     }
 
-    private void queried(PeerConnection from, ReceiptQuery query) {
-        reply(from, query.getQuery(), book.receiptsFor(query.getAttemptsList()));
+    private void answerReceiptQuery(PeerConnection from, ReceiptQuery query) {
+        reply(from, query.getQuery(), receiptStore.receiptsFor(query.getAttemptsList()));
     }
 
     private static void reply(PeerConnection to, long query, Iterable<Receipt> receipts) {
@@ -87,33 +88,36 @@
                 .build();
     }
 
-    private void pinged(PeerConnection from, Ping ping) {
-        follow(ping);
+    private void answerPing(PeerConnection from, Ping ping) {
+        applyOrder(ping);
         from.send(Frame.newBuilder()
                 .setPong(Pong.newBuilder().setSequence(ping.getSequence()).setLoad(runner.load()))
                 .build());
     }
 
-    /** An order counts only if it comes from a configuration at least as new as the one last followed. */
-    private synchronized void follow(Ping ping) {
-        if (ping.getConfigVersion() < orderVersion || stopping) {
+    /**
+     * Applies the start or stop order of a ping. Ignores it if its configuration is older than that of the last applied
+     * order, or if the process is stopping.
+     */
+    private synchronized void applyOrder(Ping ping) {
+        if (ping.getConfigVersion() < lastOrderVersion || stopping) {
             return;
         }
-        orderVersion = ping.getConfigVersion();
+        lastOrderVersion = ping.getConfigVersion();
         boolean start = ping.getOrder().equals("start");
-        if (start == book.isLeaving()) {
+        if (start == receiptStore.isLeaving()) {
             LOGGER.info("backend_order version={} order={}", ping.getConfigVersion(), ping.getOrder());
         }
         if (start) {
-            book.stay();
+            receiptStore.stay();
         } else {
-            book.leave();
+            receiptStore.leave();
         }
     }
 
-    /** The process is asked to stop: no order makes it take work again. */
-    synchronized void leaveForGood() {
+    /** Refuses new attempts until the process ends; later orders are ignored. */
+    synchronized void refuseNewAttemptsUntilExit() {
         stopping = true;
-        book.leave();
+        receiptStore.leave();
     }
 }
--- a/sidecar/src/main/java/org/streamring/sidecar/SidecarMain.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/SidecarMain.java
@@ -7,10 +7,10 @@
 import org.streamring.net.settings.SettingValues;
 import org.streamring.net.settings.SettingsSchema;
 
-/** Command line of the sidecar program. */
-@Command(name = "streamring-sidecar", description = "Guards one backend server")
+/** Command-line entry point of the sidecar program. */
+@Command(name = "streamring-sidecar", description = "Forwards the requests of entries to one backend server")
 public final class SidecarMain extends SettingsProgram {
-    /** Runs the program. */
+    /** Parses the arguments, runs the sidecar and exits the JVM with its exit code. */
     public static void main(String[] arguments) {
         System.exit(
                 SingleCommand.singleCommand(SidecarMain.class).parse(arguments).run());
--- a/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
@@ -22,96 +22,105 @@
 import org.streamring.sidecar.backend.BackendClient;
 import org.streamring.sidecar.backend.BackendSettings;
 
-/** A sidecar, put together from its parts; also usable inside a test. */
+/** Creates and connects the components of a sidecar. Tests may run it inside their own process. */
 public final class SidecarProcess implements AutoCloseable, SettingsProgram.Running {
     private static final Logger LOGGER = LoggerFactory.getLogger(SidecarProcess.class);
-    private static final int LOOPS = 2;
-    private static final long TIDY_MILLIS = 200;
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final long CLEANUP_INTERVAL_MILLIS = 200;
     private static final long STOP_POLL_MILLIS = 50;
-    private static final long LINGER_MILLIS = 1_000;
+    private static final long SETTLEMENT_WAIT_MILLIS = 1_000;
 
     private final SettingValues settings;
-    private final NioEventLoopGroup loops = new NioEventLoopGroup(LOOPS, new DefaultThreadFactory("loop", true));
+    private final NioEventLoopGroup eventLoops =
+            new NioEventLoopGroup(EVENT_LOOP_THREADS, new DefaultThreadFactory("loop", true));
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ReceiptBook book;
+    private final ReceiptBook receiptStore;
     private final BackendClient backend;
-    private final EntryFrames frames;
+    private final EntryFrameHandler entryFrameHandler;
     private final PeerServer server;
     private final AdminServer admin;
     private final String incarnation;
 
-    /** Starts everything. */
+    /**
+     * Starts the event loops, the server for entries and the admin server.
+     *
+     * @throws PeerException if the server for entries cannot be started
+     */
     public SidecarProcess(SettingValues settings) throws PeerException {
         this.settings = settings;
         String name = settings.get(SidecarSettings.NAME);
         String address = settings.get(SidecarSettings.ADDRESS);
         incarnation = Incarnations.next(name);
-        book = new ReceiptBook(SidecarSettings.receiptBook(settings));
+        receiptStore = new ReceiptBook(SidecarSettings.receiptStoreSettings(settings));
         backend = new BackendClient(new BackendSettings(
                 URI.create(settings.get(SidecarSettings.BACKEND_URL)),
                 settings.get(SidecarSettings.BACKEND_CANCEL).equals("call"),
                 settings.get(SidecarSettings.CANCEL_MARGIN),
                 settings.get(SidecarSettings.CANCEL_WAIT),
                 settings.get(SidecarSettings.MAX_ANSWER)));
-        AttemptRunner runner = new AttemptRunner(incarnation, book, backend, metrics);
-        frames = new EntryFrames(book, runner);
+        AttemptRunner runner = new AttemptRunner(incarnation, receiptStore, backend, metrics);
+        entryFrameHandler = new EntryFrameHandler(receiptStore, runner);
         registerGauges();
-        loops.scheduleAtFixedRate(runner::tidy, TIDY_MILLIS, TIDY_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoops.scheduleAtFixedRate(
+                runner::cleanUp, CLEANUP_INTERVAL_MILLIS, CLEANUP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         server = new PeerServer(
-                loops,
+                eventLoops,
                 new InetSocketAddress(address, settings.get(SidecarSettings.PORT)),
                 new FleetKey(settings.get(SidecarSettings.FLEET_KEY)),
                 new PeerIdentity(PeerIdentity.Role.SIDECAR, name, incarnation),
-                frames);
+                entryFrameHandler);
         admin = new AdminServer(
-                loops,
+                eventLoops,
                 new InetSocketAddress(address, settings.get(SidecarSettings.ADMIN_PORT)),
                 metrics,
-                () -> !book.isLeaving());
+                () -> !receiptStore.isLeaving());
         LOGGER.info("sidecar_started incarnation={} port={} admin_port={}", incarnation, server.port(), admin.port());
     }
 
     private void registerGauges() {
-        Gauge.builder("streamring.receipts", book::receiptCount)
+        Gauge.builder("streamring.receipts", receiptStore::receiptCount)
                 .description("Receipts not yet settled")
                 .register(metrics);
-        Gauge.builder("streamring.attempts.running", book::running)
+        Gauge.builder("streamring.attempts.running", receiptStore::running)
                 .description("Attempts in progress at the backend server")
                 .register(metrics);
     }
 
-    /** Port for entries. */
+    /** Returns the TCP port on which entries are served. */
     public int port() {
         return server.port();
     }
 
-    /** Port for health and metrics. */
+    /** Returns the TCP port for health and metrics. */
     public int adminPort() {
         return admin.port();
     }
 
-    /** This run of the sidecar. */
+    /** Returns the incarnation, which identifies this run of the sidecar. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** Stops in order: no new work, open attempts finish, their receipts are settled, then everything closes. */
+    /**
+     * Stops gracefully: refuses new attempts, waits until the running attempts have ended and the entries had time to
+     * settle their receipts, then closes all connections.
+     */
     @Override
     public void stopInOrder() {
-        frames.leaveForGood();
-        LOGGER.info("sidecar_stopping running={}", book.running());
-        long until = System.currentTimeMillis()
+        entryFrameHandler.refuseNewAttemptsUntilExit();
+        LOGGER.info("sidecar_stopping running={}", receiptStore.running());
+        long deadlineMillis = System.currentTimeMillis()
                 + settings.get(SidecarSettings.STOP_WAIT).toMillis();
         try {
-            while (book.running() > 0 && System.currentTimeMillis() < until) {
+            while (receiptStore.running() > 0 && System.currentTimeMillis() < deadlineMillis) {
                 Thread.sleep(STOP_POLL_MILLIS);
             }
-            // Entries have the last frames of every answer now; what they settle needs no receipt any more.
-            Thread.sleep(LINGER_MILLIS);
+            // Entries have received the last frames of every answer; attempts that they settle now need no receipt.
+            Thread.sleep(SETTLEMENT_WAIT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        LOGGER.info("sidecar_stopped running={} receipts={}", book.running(), book.receiptCount());
+        LOGGER.info("sidecar_stopped running={} receipts={}", receiptStore.running(), receiptStore.receiptCount());
         close();
     }
 
@@ -119,6 +128,6 @@
     public void close() {
         server.close();
         backend.close();
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/BackendCall.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/BackendCall.java
@@ -18,9 +18,8 @@
 import org.streamring.net.generated.Wire.Submit;
 
 /**
- * One call to the backend server. Follows what it uses, and cancels it at the reserved limit, so that the reservation
- * is
- * a bound whatever the engine does.
+ * One call to the backend server. Monitors the reported usage and cancels the call once it exceeds the reservation. The
+ * charge is never above the reservation, even if the engine ignores its token limit.
  */
 public final class BackendCall implements AsyncHandler<Void> {
     private static final Logger LOGGER = LoggerFactory.getLogger(BackendCall.class);
@@ -29,9 +28,9 @@
     private final Submit submit;
     private final BackendSettings settings;
     private final BackendListener listener;
-    private final Consumer<String> cancelCall;
+    private final Consumer<String> cancelSender;
     private final EventStreamReader stream;
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private volatile boolean cancelled;
     private volatile boolean abort;
     private volatile long abortAtMillis = Long.MAX_VALUE;
@@ -41,15 +40,15 @@
     private int status;
     private @Nullable String problem;
 
-    BackendCall(Submit submit, BackendSettings settings, BackendListener listener, Consumer<String> cancelCall) {
+    BackendCall(Submit submit, BackendSettings settings, BackendListener listener, Consumer<String> cancelSender) {
         this.submit = submit;
         this.settings = settings;
         this.listener = listener;
-        this.cancelCall = cancelCall;
+        this.cancelSender = cancelSender;
         this.stream = new EventStreamReader(submit.getShowUsage());
     }
 
-    /** Stops the work; the end is told as usual, with what was used until then. */
+    /** Cancels the call. The listener is notified of its end as usual, with the usage up to then. */
     public void cancel() {
         if (cancelled) {
             return;
@@ -57,19 +56,19 @@
         cancelled = true;
         if (submit.getModel() && settings.cancelCall()) {
             abortAtMillis = System.currentTimeMillis() + settings.cancelWait().toMillis();
-            cancelCall.accept(submit.getAttempt());
+            cancelSender.accept(submit.getAttempt());
         } else if (submit.getModel()) {
             abort = true;
         }
     }
 
-    /** Whether the call has been cancelled and its end is overdue. */
+    /** Returns whether the call was cancelled and did not end within the cancel wait. */
     public boolean overdue(long nowMillis) {
         return nowMillis >= abortAtMillis;
     }
 
-    /** Breaks off a cancelled call whose end does not come. */
-    public synchronized void breakOff() {
+    /** Aborts a cancelled call that did not end in time. */
+    public synchronized void abortOverdue() {
         abort = true;
         fail("cancelled");
     }
@@ -83,7 +82,7 @@
     public synchronized State onStatusReceived(HttpResponseStatus responseStatus) {
         connected = true;
         status = responseStatus.getStatusCode();
-        return next();
+        return nextState();
     }
 
     @Override
@@ -99,7 +98,7 @@
                     .build());
         }
         listener.begun(status, forwarded);
-        return next();
+        return nextState();
     }
 
     @Override
@@ -107,14 +106,14 @@
         byte[] bytes = part.getBodyPartBytes();
         if (streaming) {
             readStream(bytes);
-        } else if (whole.size() + bytes.length > settings.maxAnswerBytes()) {
+        } else if (body.size() + bytes.length > settings.maxAnswerBytes()) {
             problem = "the answer is larger than " + settings.maxAnswerBytes() + " bytes";
             abort = true;
         } else {
-            whole.writeBytes(bytes);
+            body.writeBytes(bytes);
             listener.chunk(bytes);
         }
-        return next();
+        return nextState();
     }
 
     private void readStream(byte[] bytes) {
@@ -134,7 +133,7 @@
         }
     }
 
-    private State next() {
+    private State nextState() {
         return abort ? State.ABORT : State.CONTINUE;
     }
 
@@ -149,7 +148,7 @@
             return null;
         }
         ended = true;
-        listener.completed(bounded(finalUsage().orElse(charge())));
+        listener.completed(capAtReservation(finalUsage().orElse(estimatedUsage())));
         return null;
     }
 
@@ -163,15 +162,15 @@
         fail(String.valueOf(cause.getMessage()));
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (ended) {
             return;
         }
         ended = true;
-        listener.failed(bounded(finalUsage().orElse(charge())), why);
+        listener.failed(capAtReservation(finalUsage().orElse(estimatedUsage())), reason);
     }
 
-    /** Usage as the engine gave it in full: in a whole answer, or at the regular end of a stream. */
+    /** Returns the final usage reported at the end of a stream or in an answer that was not streamed. */
     private Optional<Usage> finalUsage() {
         if (!submit.getModel()) {
             return Optional.of(Usage.flat(submit.getCallTokens()));
@@ -182,18 +181,23 @@
         if (status != 0 && status != OK) {
             return Optional.of(Usage.NONE);
         }
-        return UsageReader.ofAnswer(whole.toByteArray());
+        return UsageReader.ofAnswer(body.toByteArray());
     }
 
-    /** Without final usage: the last report and a margin; without any report the whole reservation. */
-    private Usage charge() {
+    /**
+     * Returns the usage to charge if the engine sent no final usage: the last reported usage plus a margin, or the
+     * whole reservation if no usage was reported.
+     */
+    private Usage estimatedUsage() {
         return stream.usage()
-                .map(seen -> new Usage(
-                        seen.promptTokens(), seen.answerTokens(), seen.tokens() + settings.cancelMarginTokens()))
+                .map(lastReport -> new Usage(
+                        lastReport.promptTokens(),
+                        lastReport.answerTokens(),
+                        lastReport.tokens() + settings.cancelMarginTokens()))
                 .orElse(Usage.flat(submit.getReservedTokens()));
     }
 
-    private Usage bounded(Usage usage) {
+    private Usage capAtReservation(Usage usage) {
         return usage.tokens() <= submit.getReservedTokens()
                 ? usage
                 : new Usage(usage.promptTokens(), usage.answerTokens(), submit.getReservedTokens());
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/BackendClient.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/BackendClient.java
@@ -8,29 +8,29 @@
 import org.asynchttpclient.RequestBuilder;
 import org.streamring.net.generated.Wire.Submit;
 
-/** Sends attempts to the backend server. Never repeats a call by itself. */
+/** Sends attempts to the backend server. Calls are never retried by this client. */
 public final class BackendClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration LONGEST_CALL = Duration.ofMinutes(30);
+    private static final Duration CALL_TIMEOUT = Duration.ofMinutes(30);
 
     private final BackendSettings settings;
     private final AsyncHttpClient client;
 
-    /** Creates one without connections. */
+    /** Creates a client. Connections are opened per call. */
     public BackendClient(BackendSettings settings) {
         this.settings = settings;
         this.client = Dsl.asyncHttpClient(Dsl.config()
                 .setConnectTimeout(CONNECT_TIMEOUT)
-                .setRequestTimeout(LONGEST_CALL)
-                .setReadTimeout(LONGEST_CALL)
+                .setRequestTimeout(CALL_TIMEOUT)
+                .setReadTimeout(CALL_TIMEOUT)
                 .setMaxRequestRetry(0)
                 .setIoThreadsCount(1)
-                // A pooled connection may be closed just as it is used, and then it is not known what was forwarded.
+                // If a pooled connection is closed while it is used, it is unknown whether the request was forwarded.
                 .setKeepAlive(false)
                 .setThreadPoolName("backend"));
     }
 
-    /** Sends an attempt. */
+    /** Sends an attempt. The answer is passed to the listener on an I/O thread of the client. */
     public BackendCall start(Submit submit, BackendListener listener) {
         RequestBuilder request = new RequestBuilder(submit.getMethod())
                 .setUrl(settings.url() + submit.getPath())
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/BackendListener.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/BackendListener.java
@@ -4,20 +4,23 @@
 import org.streamring.kernel.receipt.Usage;
 import org.streamring.net.generated.Wire.Header;
 
-/** Told what a backend server answers, on an I/O thread. Exactly one of the last three ends the call. */
+/**
+ * Receives the answer of a backend server, on an I/O thread. Each call ends with exactly one of {@link #completed},
+ * {@link #notForwarded} and {@link #failed}.
+ */
 public interface BackendListener {
-    /** Status and headers. */
+    /** Called with the status and headers of the answer. */
     void begun(int status, List<Header> headers);
 
-    /** Part of the body. */
+    /** Called with each part of the body. */
     void chunk(byte[] data);
 
-    /** The answer is whole. */
+    /** Called when the answer is complete. */
     void completed(Usage usage);
 
-    /** No connection to the backend server could be made, so it was given nothing. */
+    /** Called when no connection could be established, so that nothing was sent to the backend server. */
     void notForwarded(String problem);
 
-    /** The answer broke off. */
+    /** Called when the answer ended before it was complete. */
     void failed(Usage usage, String problem);
 }
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/BackendSettings.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/BackendSettings.java
@@ -4,13 +4,13 @@
 import java.time.Duration;
 
 /**
- * How the backend server is reached.
+ * Settings for calls to the backend server.
  *
- * @param url its address
- * @param cancelCall whether it has a cancel call; otherwise work is cancelled by closing its connection
- * @param cancelMarginTokens tokens charged beyond the last report when an answer ends without its usage
- * @param cancelWait longest wait for the usage of cancelled work
- * @param maxAnswerBytes largest answer that is not streamed
+ * @param url address of the backend server
+ * @param cancelCall whether the engine has a cancel call; otherwise its connection is closed to cancel a request
+ * @param cancelMarginTokens tokens charged above the last reported usage if an answer ends without final usage
+ * @param cancelWait maximum wait for the usage of a cancelled request
+ * @param maxAnswerBytes maximum size of an answer that is not streamed
  */
 public record BackendSettings(
         URI url, boolean cancelCall, long cancelMarginTokens, Duration cancelWait, int maxAnswerBytes) {}
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/EventStreamReader.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/EventStreamReader.java
@@ -6,8 +6,8 @@
 import org.streamring.kernel.receipt.Usage;
 
 /**
- * Reads a streamed answer line by line: follows its usage, and takes usage out of events if the caller did not ask for
- * it. Bounded: a line that is too long is an error.
+ * Reads a streamed answer line by line. Records the reported usage, and removes it from the events if the caller did
+ * not request it. Lines above a maximum length are an error, which bounds the memory used.
  */
 final class EventStreamReader {
     private static final String DATA = "data:";
@@ -18,35 +18,39 @@
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private Optional<Usage> usage = Optional.empty();
     private boolean done;
-    private boolean skipBlank;
+    private boolean skipNextBlankLine;
 
     EventStreamReader(boolean showUsage) {
         this.showUsage = showUsage;
     }
 
-    /** Usage as last reported. */
+    /** Returns the last reported usage. */
     Optional<Usage> usage() {
         return usage;
     }
 
-    /** Whether the stream said that it is whole. */
+    /** Returns whether the final event of the stream was received. */
     boolean done() {
         return done;
     }
 
-    /** Takes in bytes and returns what goes on to the caller. */
+    /**
+     * Reads bytes of the stream and returns the complete lines to forward to the caller.
+     *
+     * @throws LineTooLongException if a line is longer than the maximum
+     */
     byte[] read(byte[] bytes) throws LineTooLongException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length);
-        for (byte one : bytes) {
-            line.write(one);
-            if (one == '\n') {
-                out.writeBytes(readLine(line.toString(StandardCharsets.UTF_8)));
+        ByteArrayOutputStream forwarded = new ByteArrayOutputStream(bytes.length);
+        for (byte value : bytes) {
+            line.write(value);
+            if (value == '\n') {
+                forwarded.writeBytes(readLine(line.toString(StandardCharsets.UTF_8)));
                 line.reset();
             } else if (line.size() > MAX_LINE_BYTES) {
                 throw new LineTooLongException();
             }
         }
-        return out.toByteArray();
+        return forwarded.toByteArray();
     }
 
     private byte[] readLine(String text) {
@@ -56,8 +60,8 @@
 
     private String filter(String text) {
         if (text.isBlank()) {
-            boolean skip = skipBlank;
-            skipBlank = false;
+            boolean skip = skipNextBlankLine;
+            skipNextBlankLine = false;
             return skip ? "" : text;
         }
         if (!text.startsWith(DATA)) {
@@ -77,13 +81,13 @@
             return text;
         }
         if (event.get().onlyUsage()) {
-            skipBlank = true;
+            skipNextBlankLine = true;
             return "";
         }
         return DATA + " " + event.get().withoutUsage() + "\n";
     }
 
-    /** A line over the limit. */
+    /** Thrown if a line of a stream is longer than the maximum. */
     static final class LineTooLongException extends Exception {
         private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/UsageReader.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/UsageReader.java
@@ -15,7 +15,7 @@
 
     private UsageReader() {}
 
-    /** Usage in a whole answer, if there is any. */
+    /** Returns the usage in an answer that was not streamed; empty if it has none or is not JSON. */
     static Optional<Usage> ofAnswer(byte[] json) {
         try {
             return of(MAPPER.readTree(json));
@@ -26,12 +26,12 @@
 
     /** One event of a streamed answer. */
     record Event(ObjectNode content, Optional<Usage> usage) {
-        /** Whether nothing is left for the caller once usage is taken out. */
+        /** Returns whether the event holds usage and no choices, so that it is dropped if the caller gets no usage. */
         boolean onlyUsage() {
             return usage.isPresent() && content.path("choices").isEmpty();
         }
 
-        /** The event without usage, as text. */
+        /** Returns the event without its usage, as JSON. */
         String withoutUsage() {
             ObjectNode copy = content.deepCopy();
             copy.remove(USAGE);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Reads an event's data; empty if it is not a JSON object. */
+    /** Parses the data of an event. Returns empty if it is not a JSON object. */
     static Optional<Event> event(String data) {
         try {
             JsonNode node = MAPPER.readTree(data);
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/package-info.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to the backend server and reading of its answers. */
+/** HTTP client for the backend server, and parsing of its answers. */
 @NullMarked
 package org.streamring.sidecar.backend;
 
--- a/sidecar/src/main/java/org/streamring/sidecar/package-info.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/package-info.java
@@ -1,4 +1,4 @@
-/** The sidecar program: the only way to one backend server. */
+/** The sidecar program, which forwards all requests to one backend server. */
 @NullMarked
 package org.streamring.sidecar;
 
--- a/sidecar/src/test/java/org/streamring/sidecar/backend/EventStreamReaderTest.java
+++ b/sidecar/src/test/java/org/streamring/sidecar/backend/EventStreamReaderTest.java
@@ -18,44 +18,44 @@
 
             """;
 
-    private static String read(EventStreamReader reader, String text, int pieceBytes) throws Exception {
+    private static String read(EventStreamReader reader, String text, int chunkBytes) throws Exception {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        StringBuilder out = new StringBuilder();
-        for (int from = 0; from < bytes.length; from += pieceBytes) {
-            byte[] piece = java.util.Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + pieceBytes));
-            out.append(new String(reader.read(piece), StandardCharsets.UTF_8));
+        StringBuilder forwarded = new StringBuilder();
+        for (int from = 0; from < bytes.length; from += chunkBytes) {
+            byte[] chunk = java.util.Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + chunkBytes));
+            forwarded.append(new String(reader.read(chunk), StandardCharsets.UTF_8));
         }
-        return out.toString();
+        return forwarded.toString();
     }
 
     @DataProvider
-    public Object[][] pieces() {
+    public Object[][] chunkSizes() {
         return new Object[][] {{1}, {2}, {7}, {64}, {10_000}};
     }
 
-    @Test(dataProvider = "pieces")
-    public void usageIsFollowedAndHiddenHoweverTheBytesAreCut(int pieceBytes) throws Exception {
+    @Test(dataProvider = "chunkSizes")
+    public void usageIsReadAndRemovedHoweverTheBytesAreSplit(int chunkBytes) throws Exception {
         EventStreamReader reader = new EventStreamReader(false);
-        String out = read(reader, STREAM, pieceBytes);
-        assertThat(out).isEqualTo("data: {\"choices\":[{\"delta\":{\"content\":\"é\"}}]}\n\ndata: [DONE]\n\n");
+        String forwarded = read(reader, STREAM, chunkBytes);
+        assertThat(forwarded).isEqualTo("data: {\"choices\":[{\"delta\":{\"content\":\"é\"}}]}\n\ndata: [DONE]\n\n");
         assertThat(reader.usage()).contains(Usage.ofModel(3, 2));
         assertThat(reader.done()).isTrue();
     }
 
-    @Test(dataProvider = "pieces")
-    public void aStreamIsPassedOnUnchangedIfUsageIsWanted(int pieceBytes) throws Exception {
-        assertThat(read(new EventStreamReader(true), STREAM, pieceBytes)).isEqualTo(STREAM);
+    @Test(dataProvider = "chunkSizes")
+    public void aStreamIsForwardedUnchangedIfUsageIsRequested(int chunkBytes) throws Exception {
+        assertThat(read(new EventStreamReader(true), STREAM, chunkBytes)).isEqualTo(STREAM);
     }
 
     @Test
-    public void aStreamWithoutItsLastEventIsNotDone() throws Exception {
+    public void aStreamWithoutItsFinalEventIsNotDone() throws Exception {
         EventStreamReader reader = new EventStreamReader(false);
         read(reader, STREAM.substring(0, STREAM.indexOf("data: [DONE]")), 10);
         assertThat(reader.done()).isFalse();
     }
 
     @Test
-    public void anEndlessLineIsAnError() {
+    public void aLineAboveTheMaximumLengthIsRejected() {
         EventStreamReader reader = new EventStreamReader(false);
         assertThatThrownBy(() -> reader.read(new byte[(1 << 20) + 2]))
                 .isInstanceOf(EventStreamReader.LineTooLongException.class);
