--- a/integration/src/test/java/org/streamring/architecture/ArchitectureTest.java
+++ b/integration/src/test/java/org/streamring/architecture/ArchitectureTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void programsDoNotKnowEachOther() {
+    public void programsDoNotDependOnEachOther() {
         slices().matching("org.streamring.(entry|sidecar|cli|standin|direct)..")
                 .should()
                 .notDependOnEachOther()
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void theKernelHasNoThreadsClockOrNetwork() {
+    public void theKernelUsesNoThreadsClockOrNetwork() {
         noClasses()
                 .that()
                 .resideInAnyPackage("org.streamring.kernel..", "org.streamring.model..")
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void onlyTheAdapterKnowsTheUsersPlatform() {
+    public void onlyTheAdapterDependsOnTheUsersPlatform() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("org.streamring.platform.rows..")
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void sidecarsCarryNoPolicyCompiler() {
+    public void sidecarsDoNotDependOnThePolicyCompiler() {
         noClasses()
                 .that()
                 .resideInAPackage("org.streamring.sidecar..")
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void processesStartNoProcesses() {
+    public void programsStartNoOtherProcesses() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -111,7 +111,7 @@
     }
 
     @Test
-    public void loggersAreNamedAlike() {
+    public void exceptionsAndLoggersFollowTheNamingRules() {
         classes()
                 .that()
                 .haveSimpleNameEndingWith("Exception")
--- a/integration/src/test/java/org/streamring/fleet/Fleet.java
+++ b/integration/src/test/java/org/streamring/fleet/Fleet.java
@@ -39,18 +39,17 @@
 import org.streamring.standin.service.ServiceStandin;
 
 /**
- * A small fleet: entries and sidecars as real processes, each behind fault-injecting proxies; stand-ins of the
- * platform,
- * engines and a plain service inside the test.
+ * A small fleet for tests. Entries and sidecars run as separate processes behind fault-injecting proxies; the stand-ins
+ * for the platform, the engines and a plain service run inside the test process.
  */
 public final class Fleet implements AutoCloseable {
     public static final String FLEET_KEY = "integration-fleet-key";
     public static final String PLATFORM_KEY = "integration-platform-key";
     public static final String OPERATOR_KEY = "integration-operator-key";
-    public static final String HOSPITAL = "quickstart-hospital-plant";
-    public static final String CREWS = "quickstart-hotel-crews";
+    public static final String HOSPITAL_KEY = "quickstart-hospital-plant";
+    public static final String CREWS_KEY = "quickstart-hotel-crews";
     public static final String BUDGET = "hospitals";
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final JsonMapper MAPPER = new JsonMapper();
 
     public final PlatformStandin platform = new PlatformStandin(0, PLATFORM_KEY, OPERATOR_KEY);
@@ -65,12 +64,12 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final PlatformProvider.Platform operatorAccess;
-    private final Path work;
+    private final Path workDirectory;
     private String ledgerProfile = "patient";
 
     public Fleet(int engineCount, EngineSettings engineSettings, long serviceMillis) {
         try {
-            work = Files.createTempDirectory("streamring-fleet");
+            workDirectory = Files.createTempDirectory("streamring-fleet");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -82,9 +81,9 @@
         }
         startSidecar("control-1", service.url());
         for (int i = 1; i <= engineCount; i++) {
-            list("assist-" + i, "assist-llm");
+            addToBoxList("assist-" + i, "assist-llm");
         }
-        list("control-1", "control-api");
+        addToBoxList("control-1", "control-api");
         operatorAccess =
                 PlatformProvider.named("http").open(URI.create(platform.url()), OPERATOR_KEY, Duration.ofSeconds(5));
     }
@@ -98,7 +97,7 @@
         return this;
     }
 
-    /** Applies the example declarations and starts entries. */
+    /** Applies the example declarations, starts the entries and waits until they serve requests. */
     public Fleet start(int entryCount) throws PlatformException, SettingsException {
         apply(DeclarationReader.read(List.of(root().resolve("examples/sebeta.toml"))));
         for (int i = 1; i <= entryCount; i++) {
@@ -125,7 +124,8 @@
 
     private void startSidecar(String name, String backendUrl) {
         backendUrls.put(name, backendUrl);
-        sidecars.put(name, ProgramProcess.start(work, "sidecar", name, """
+        sidecars.put(
+                name, ProgramProcess.start(workDirectory, "sidecar", name, """
                 name = "%s"
                 fleet_key = "%s"
                 listen.port = 0
@@ -134,12 +134,12 @@
                 """.formatted(name, FLEET_KEY, backendUrl)));
     }
 
-    /** Puts a sidecar behind a proxy and into the box list. */
-    private void list(String name, String serviceName) {
+    /** Starts a proxy for a sidecar and adds the proxy's address to the box list. */
+    private void addToBoxList(String name, String serviceName) {
         FaultProxy proxy = new FaultProxy(sidecars.get(name).port());
-        FaultProxy old = sidecarProxies.put(name, proxy);
-        if (old != null) {
-            old.close();
+        FaultProxy previous = sidecarProxies.put(name, proxy);
+        if (previous != null) {
+            previous.close();
         }
         boxes.put(
                 name,
@@ -149,13 +149,13 @@
 
     public void restartSidecar(String name) {
         startSidecar(name, backendUrls.get(name));
-        list(name, boxes.get(name).service());
+        addToBoxList(name, boxes.get(name).service());
     }
 
     public void startEntry(String name) {
         FaultProxy proxy = platformProxies.computeIfAbsent(
                 name, key -> new FaultProxy(URI.create(platform.url()).getPort()));
-        entries.put(name, ProgramProcess.start(work, "entry", name, """
+        entries.put(name, ProgramProcess.start(workDirectory, "entry", name, """
                 name = "%s"
                 failure_domain = "domain-0"
                 fleet_key = "%s"
@@ -179,12 +179,12 @@
         return "http://127.0.0.1:" + entries.get(entry).port();
     }
 
-    /** Waits until every entry serves models and plain calls. */
+    /** Waits until every entry serves model requests and plain requests. */
     public void awaitServing() {
         for (String entry : entries.keySet()) {
-            Awaitility.await("entry serves: " + entry).atMost(LONG).until(() -> {
+            Awaitility.await("entry serves: " + entry).atMost(TIMEOUT).until(() -> {
                 boolean plain = plain(entry, "GET", "/warm", "").statusCode() == 200;
-                return plain && chat(entry, HOSPITAL, 1, false, "").statusCode() == 200;
+                return plain && chat(entry, HOSPITAL_KEY, 1, false, "").statusCode() == 200;
             });
         }
     }
@@ -197,7 +197,7 @@
 
     public HttpRequest.Builder request(String entry, String path, String key) {
         return HttpRequest.newBuilder(URI.create(url(entry) + path))
-                .timeout(LONG)
+                .timeout(TIMEOUT)
                 .header("Authorization", "Bearer " + key);
     }
 
@@ -230,7 +230,7 @@
     }
 
     private HttpRequest plainRequest(String entry, String method, String path, String idempotencyKey) {
-        HttpRequest.Builder request = request(entry, "/services/control-api" + path, HOSPITAL)
+        HttpRequest.Builder request = request(entry, "/services/control-api" + path, HOSPITAL_KEY)
                 .method(method, HttpRequest.BodyPublishers.ofString("{}"));
         if (!idempotencyKey.isEmpty()) {
             request.header("Idempotency-Key", idempotencyKey);
@@ -253,7 +253,7 @@
         return http;
     }
 
-    /** A process's metrics, as its admin port shows them. */
+    /** Returns the metrics served on the admin port of a process. */
     public String metrics(int adminPort) {
         URI uri = URI.create("http://127.0.0.1:" + adminPort + "/metrics");
         return send(HttpRequest.newBuilder(uri).build()).body();
@@ -272,23 +272,23 @@
         }
     }
 
-    public long amount(String rowKey) {
+    public long rowAmount(String rowKey) {
         return platform.table().read(List.of(rowKey)).stream()
                 .mapToLong(Row::amount)
                 .findFirst()
                 .orElse(0);
     }
 
-    public long leased(String budget) {
-        return amount(RowKeys.granted(budget))
-                - amount(RowKeys.settled(budget))
-                - amount(RowKeys.remaining(budget))
-                - amount(RowKeys.held(budget));
+    public long leasedTokens(String budget) {
+        return rowAmount(RowKeys.granted(budget))
+                - rowAmount(RowKeys.settled(budget))
+                - rowAmount(RowKeys.remaining(budget))
+                - rowAmount(RowKeys.held(budget));
     }
 
-    /** Stops all entries in order, so that every lease is settled or given back. */
+    /** Stops all entries gracefully, so that every lease is settled or returned. */
     public void stopEntries() {
-        entries.values().forEach(ProgramProcess::askToStop);
+        entries.values().forEach(ProgramProcess::requestStop);
         entries.values().forEach(ProgramProcess::awaitExit);
     }
 
@@ -296,13 +296,13 @@
         return new BillArchive(operatorAccess.objects()).items();
     }
 
-    /** What the engines say that they ran. */
+    /** Returns the runs recorded by all engines. */
     public List<RunRecord> engineRecords() {
         return engines.stream().flatMap(engine -> engine.records().stream()).toList();
     }
 
-    /** What the engines say that they ran for one budget's leases, by attempt. */
-    public Map<String, Long> ranTokens() {
+    /** Returns the tokens recorded by all engines, by attempt. */
+    public Map<String, Long> engineTokens() {
         Map<String, Long> tokens = new TreeMap<>();
         engineRecords().forEach(record -> tokens.merge(record.attempt(), record.tokens(), Long::sum));
         return tokens;
@@ -314,9 +314,9 @@
         return tokens;
     }
 
-    public long settledAll() {
+    public long settledTokens() {
         return Stream.of("installers", "hospitals", "trial")
-                .mapToLong(budget -> amount(RowKeys.settled(budget)))
+                .mapToLong(budget -> rowAmount(RowKeys.settled(budget)))
                 .sum();
     }
 
--- a/integration/src/test/java/org/streamring/fleet/ProgramProcess.java
+++ b/integration/src/test/java/org/streamring/fleet/ProgramProcess.java
@@ -10,10 +10,10 @@
 import java.util.regex.Pattern;
 import org.awaitility.Awaitility;
 
-/** One program of the system, started by the test as a process of its own. */
+/** A streamring program that a test starts as a separate process. */
 public final class ProgramProcess {
     private static final Pattern PORTS = Pattern.compile("_started .*?\\bport=(\\d+) admin_port=(\\d+)");
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final Process process;
     private final Path log;
@@ -23,24 +23,24 @@
         this.log = log;
     }
 
-    /** Waits until the program has said on which ports it listens. */
+    /** Waits until the program has logged the ports on which it listens. */
     private Matcher awaitPorts() {
         Awaitility.await("program starts: " + log)
-                .atMost(LONG)
+                .atMost(TIMEOUT)
                 .pollInterval(Duration.ofMillis(20))
                 .until(() -> PORTS.matcher(log()).find() || !process.isAlive());
         Matcher ports = PORTS.matcher(log());
         if (!ports.find()) {
-            throw new IllegalStateException("did not start: " + log());
+            throw new IllegalStateException("program did not start: " + log());
         }
         return ports;
     }
 
-    static ProgramProcess start(Path work, String program, String name, String settings) {
+    static ProgramProcess start(Path directory, String program, String name, String settings) {
         try {
-            Path file = Files.createTempFile(work, name, ".toml");
+            Path file = Files.createTempFile(directory, name, ".toml");
             Files.writeString(file, settings);
-            Path log = Files.createTempFile(work, name, ".log");
+            Path log = Files.createTempFile(directory, name, ".log");
             Process process = new ProcessBuilder(
                             Fleet.root().resolve("bin/streamring-" + program).toString(), "--settings", file.toString())
                     .redirectErrorStream(true)
@@ -76,21 +76,21 @@
         }
     }
 
-    /** Ends the process without warning. */
+    /** Kills the process and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
         awaitExit();
     }
 
-    /** Asks the process to stop in order. */
-    public void askToStop() {
+    /** Requests a graceful stop of the process. */
+    public void requestStop() {
         process.destroy();
     }
 
     public void awaitExit() {
         try {
-            if (!process.waitFor(LONG.toSeconds(), TimeUnit.SECONDS)) {
-                throw new IllegalStateException("did not stop: " + log());
+            if (!process.waitFor(TIMEOUT.toSeconds(), TimeUnit.SECONDS)) {
+                throw new IllegalStateException("program did not stop: " + log());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Pauses the process, as a long pause of its machine would. */
+    /** Suspends the process, which simulates a long pause of its box. */
     public void pause() {
         signal("-STOP");
     }
@@ -109,9 +109,9 @@
 
     private void signal(String signal) {
         try {
-            Process sent = new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
-            if (sent.waitFor() != 0) {
-                throw new IllegalStateException("no signal could be sent to " + process.pid());
+            Process command = new ProcessBuilder("kill", signal, Long.toString(process.pid())).start();
+            if (command.waitFor() != 0) {
+                throw new IllegalStateException("signal could not be sent to process " + process.pid());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/integration/src/test/java/org/streamring/integration/ConfigurationInForceTest.java
+++ b/integration/src/test/java/org/streamring/integration/ConfigurationInForceTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void ofRacingOperatorsOneWinsPerVersionAndAllEntriesFollow() throws Exception {
+    public void oneOfSeveralConcurrentChangesIsAppliedAndReachesAllEntries() throws Exception {
         fleet = Fleet.small().start(2);
         OperatorClient.State state = fleet.operator("a").state();
         List<CompletableFuture<OperatorClient.Outcome>> changes = new ArrayList<>();
@@ -40,18 +40,18 @@
                 }
             }));
         }
-        long won = 0;
+        long appliedCount = 0;
         for (CompletableFuture<OperatorClient.Outcome> change : changes) {
-            won += change.get() instanceof OperatorClient.Outcome.Applied ? 1 : 0;
+            appliedCount += change.get() instanceof OperatorClient.Outcome.Applied ? 1 : 0;
         }
-        assertThat(won).isEqualTo(1);
-        eventually("in force everywhere").until(() -> inForce("entry-1", 2) && inForce("entry-2", 2));
+        assertThat(appliedCount).isEqualTo(1);
+        eventually("version 2 is in force at all entries").until(() -> inForce("entry-1", 2) && inForce("entry-2", 2));
     }
 
     @Test
-    public void aChangeWhoseAnswerIsLostIsMadeOnce() throws Exception {
+    public void aChangeWhoseResponseIsLostIsAppliedOnce() throws Exception {
         fleet = Fleet.small().start(1);
-        long granted = fleet.amount(RowKeys.granted("trial"));
+        long granted = fleet.rowAmount(RowKeys.granted("trial"));
         fleet.platform.setFaults(new PlatformFaults(false, 0, 2, false, 0));
         for (int i = 1; i <= 4; i++) {
             OperatorClient.Outcome outcome = fleet.operator("op")
@@ -62,22 +62,22 @@
                             List.of()));
             assertThat(outcome).isEqualTo(new OperatorClient.Outcome.Applied(1 + i));
         }
-        assertThat(fleet.amount(RowKeys.granted("trial"))).isEqualTo(granted + 40);
+        assertThat(fleet.rowAmount(RowKeys.granted("trial"))).isEqualTo(granted + 40);
     }
 
     @Test
-    public void anEntryThatWasCutOffGoesStraightToTheNewestVersion() throws Exception {
+    public void anEntryAppliesTheNewestVersionAfterAConnectionLoss() throws Exception {
         fleet = Fleet.small().start(2);
         fleet.platformProxies.get("entry-2").setMode(FaultProxy.Mode.CUT);
         for (int i = 0; i < 5; i++) {
             fleet.operator("op").changeLatest(rank(i));
         }
-        eventually("entry-1 follows").until(() -> inForce("entry-1", 6));
-        assertThat(fleet.chat("entry-2", Fleet.HOSPITAL, 2, false, "").statusCode())
-                .as("served from its lease meanwhile")
+        eventually("version 6 is in force at entry-1").until(() -> inForce("entry-1", 6));
+        assertThat(fleet.chat("entry-2", Fleet.HOSPITAL_KEY, 2, false, "").statusCode())
+                .as("served from its lease while disconnected")
                 .isEqualTo(200);
         fleet.platformProxies.get("entry-2").setMode(FaultProxy.Mode.PASS);
-        eventually("entry-2 follows").until(() -> inForce("entry-2", 6));
+        eventually("version 6 is in force at entry-2").until(() -> inForce("entry-2", 6));
         List<Long> versions = new ArrayList<>();
         fleet.entries
                 .get("entry-2")
@@ -100,7 +100,7 @@
                         List.of(),
                         List.of(new org.streamring.kernel.config.ConfigChange.Grant("trial", 10_000, false)),
                         List.of()));
-        eventually("served")
+        eventually("the request is served")
                 .until(() -> fleet.chat("entry-1", "quickstart-trial-user", 400, false, "")
                                 .statusCode()
                         == 200);
--- a/integration/src/test/java/org/streamring/integration/FleetTestBase.java
+++ b/integration/src/test/java/org/streamring/integration/FleetTestBase.java
@@ -11,9 +11,9 @@
 import org.streamring.kernel.table.RowKeys;
 import org.testng.annotations.AfterMethod;
 
-/** Base of the tests that run a fleet; every test starts its own and closes it. */
+/** Base class of tests that run a fleet. Each test starts its own fleet, which is closed after the test. */
 public abstract class FleetTestBase {
-    private static final Duration LONG = Duration.ofSeconds(90);
+    private static final Duration TIMEOUT = Duration.ofSeconds(90);
 
     protected Fleet fleet;
 
@@ -24,23 +24,27 @@
         }
     }
 
-    protected static ConditionFactory eventually(String what) {
-        return Awaitility.await(what).atMost(LONG).pollInterval(Duration.ofMillis(100));
+    protected static ConditionFactory eventually(String condition) {
+        return Awaitility.await(condition).atMost(TIMEOUT).pollInterval(Duration.ofMillis(100));
     }
 
     /**
-     * Every attempt that an engine ran is billed once, at what it ran; settled is what is billed; nothing is left
-     * over.
+     * Asserts that each attempt is billed once with the tokens that the engine recorded for it, that the settled tokens
+     * equal the billed ones, and that no tokens of any budget are leased or held.
      */
-    protected void assertBilledIsWhatRan() throws PlatformException {
+    protected void assertBillsMatchEngineRecords() throws PlatformException {
         Map<String, Long> billed = fleet.billedTokens();
-        assertThat(billed).as("bills against the engines' own records").isEqualTo(fleet.ranTokens());
-        assertThat(fleet.settledAll())
+        assertThat(billed)
+                .as("billed tokens equal the tokens recorded by the engines")
+                .isEqualTo(fleet.engineTokens());
+        assertThat(fleet.settledTokens())
                 .isEqualTo(billed.values().stream().mapToLong(Long::longValue).sum());
         for (String budget : new String[] {"hospitals", "installers", "trial"}) {
-            assertThat(fleet.leased(budget)).as("leased of " + budget).isZero();
-            assertThat(fleet.amount(RowKeys.held(budget)))
-                    .as("held of " + budget)
+            assertThat(fleet.leasedTokens(budget))
+                    .as("leased tokens of " + budget)
+                    .isZero();
+            assertThat(fleet.rowAmount(RowKeys.held(budget)))
+                    .as("held tokens of " + budget)
                     .isZero();
         }
     }
--- a/integration/src/test/java/org/streamring/integration/OnceOnlyTest.java
+++ b/integration/src/test/java/org/streamring/integration/OnceOnlyTest.java
@@ -14,28 +14,28 @@
 import org.testng.annotations.Test;
 
 public class OnceOnlyTest extends FleetTestBase {
-    private long runsOf(String key) {
+    private long runCount(String key) {
         return fleet.service.records().stream()
                 .filter(record -> record.request().equals("hospital-plant/" + key))
                 .count();
     }
 
     @Test
-    public void manyTriesThroughTwoEntriesRunOnce() throws Exception {
+    public void concurrentRetriesThroughTwoEntriesRunOnce() throws Exception {
         fleet = new Fleet(1, EngineSettings.fast(), 300).start(2);
-        List<CompletableFuture<HttpResponse<String>>> tries = new ArrayList<>();
+        List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            tries.add(fleet.plainAsync("entry-" + (1 + i % 2), "POST", "/setpoints/7", "set-1"));
+            responses.add(fleet.plainAsync("entry-" + (1 + i % 2), "POST", "/setpoints/7", "set-1"));
         }
-        for (CompletableFuture<HttpResponse<String>> one : tries) {
-            assertThat(one.get().statusCode()).isEqualTo(200);
-            assertThat(one.get().body()).contains("hospital-plant/set-1");
+        for (CompletableFuture<HttpResponse<String>> response : responses) {
+            assertThat(response.get().statusCode()).isEqualTo(200);
+            assertThat(response.get().body()).contains("hospital-plant/set-1");
         }
-        assertThat(runsOf("set-1")).isEqualTo(1);
+        assertThat(runCount("set-1")).isEqualTo(1);
     }
 
     @Test
-    public void lostAnswersOfTheStoreDoNotMakeARequestRunTwice() throws Exception {
+    public void lostStoreResponsesDoNotMakeARequestRunTwice() throws Exception {
         fleet = Fleet.small().start(2);
         fleet.platform.setFaults(new PlatformFaults(false, 0, 2, false, 200));
         for (int i = 0; i < 20; i++) {
@@ -46,50 +46,50 @@
                     break;
                 }
             }
-            assertThat(runsOf(key)).as(key).isLessThanOrEqualTo(1);
+            assertThat(runCount(key)).as(key).isLessThanOrEqualTo(1);
         }
     }
 
     @Test
-    public void whileTheStoreIsAwayItIsRefusedAtOnceAsNotRun() throws Exception {
+    public void requestsAreRefusedAtOnceAsNotRunDuringAStoreOutage() throws Exception {
         fleet = Fleet.small().start(1);
         fleet.platform.setFaults(new PlatformFaults(true, 0, 0, false, 0));
         HttpResponse<String> response = fleet.plain("entry-1", "POST", "/setpoints/7", "away-1");
         assertThat(response.statusCode()).isEqualTo(503);
         assertThat(Fleet.outcome(response)).isEqualTo("not-run");
         assertThat(response.headers().firstValue("Retry-After")).isPresent();
-        assertThat(runsOf("away-1")).isZero();
+        assertThat(runCount("away-1")).isZero();
         fleet.platform.setFaults(PlatformFaults.NONE);
         eventually("served again")
                 .until(() ->
                         fleet.plain("entry-1", "POST", "/setpoints/7", "away-1").statusCode() == 200);
-        assertThat(runsOf("away-1")).isEqualTo(1);
+        assertThat(runCount("away-1")).isEqualTo(1);
     }
 
     @Test
-    public void aTryWhoseSidecarDiedIsNeverRunElsewhere() throws Exception {
+    public void aRequestWhoseSidecarDiedIsNeverRunElsewhere() throws Exception {
         fleet = new Fleet(1, EngineSettings.fast(), 60_000).start(0);
         fleet.startEntry("entry-1");
         eventually("running").until(() -> {
             fleet.plainAsync("entry-1", "POST", "/setpoints/7", "dead-1");
-            return runsOf("dead-1") == 1;
+            return runCount("dead-1") == 1;
         });
         fleet.sidecars.get("control-1").kill();
-        HttpResponse<String> whileNoneIsLeft = fleet.plain("entry-1", "POST", "/setpoints/7", "dead-1");
-        assertThat(Fleet.outcome(whileNoneIsLeft)).isEqualTo("unknown");
+        HttpResponse<String> retryWithoutSidecar = fleet.plain("entry-1", "POST", "/setpoints/7", "dead-1");
+        assertThat(Fleet.outcome(retryWithoutSidecar)).isEqualTo("unknown");
         fleet.restartSidecar("control-1");
-        eventually("the new sidecar is known")
+        eventually("the restarted sidecar is connected")
                 .until(() -> fleet.entries.get("entry-1").log().split("sidecar_connected peer=control-1").length > 2);
         HttpResponse<String> retry = fleet.plain("entry-1", "POST", "/setpoints/7", "dead-1");
         assertThat(Fleet.outcome(retry)).isEqualTo("unknown");
-        assertThat(runsOf("dead-1")).isEqualTo(1);
+        assertThat(runCount("dead-1")).isEqualTo(1);
     }
 
     @Test
-    public void aRetryDuringACutAttachesAfterwards() throws Exception {
+    public void aRetryAfterAConnectionLossGetsTheOriginalAnswer() throws Exception {
         fleet = new Fleet(1, EngineSettings.fast(), 1_000).start(2);
         CompletableFuture<HttpResponse<String>> first = fleet.plainAsync("entry-1", "POST", "/setpoints/7", "cut-1");
-        eventually("running").until(() -> runsOf("cut-1") == 1);
+        eventually("running").until(() -> runCount("cut-1") == 1);
         fleet.sidecarProxies.get("control-1").setMode(FaultProxy.Mode.CUT);
         assertThat(Fleet.outcome(first.get())).isEqualTo("unknown");
         fleet.sidecarProxies.get("control-1").setMode(FaultProxy.Mode.PASS);
@@ -97,16 +97,16 @@
             HttpResponse<String> retry = fleet.plain("entry-2", "POST", "/setpoints/7", "cut-1");
             return Fleet.outcome(retry).equals("answered");
         });
-        assertThat(runsOf("cut-1")).isEqualTo(1);
+        assertThat(runCount("cut-1")).isEqualTo(1);
     }
 
     @Test
-    public void theSameIdentifierWithAnotherBodyIsRefused() throws Exception {
+    public void anIdempotencyKeyReusedWithAnotherBodyIsRefused() throws Exception {
         fleet = Fleet.small().start(2);
         assertThat(fleet.plain("entry-1", "POST", "/setpoints/7", "same-1").statusCode())
                 .isEqualTo(200);
         HttpResponse<String> other =
-                fleet.send(fleet.request("entry-2", "/services/control-api/setpoints/7", Fleet.HOSPITAL)
+                fleet.send(fleet.request("entry-2", "/services/control-api/setpoints/7", Fleet.HOSPITAL_KEY)
                         .header("Idempotency-Key", "same-1")
                         .POST(HttpRequest.BodyPublishers.ofString("{\"other\":1}"))
                         .build());
@@ -116,12 +116,12 @@
     @Test
     public void aRepeatedModelRequestGetsTheSameAnswerAndOneBill() throws Exception {
         fleet = Fleet.small().start(2);
-        HttpResponse<String> first = fleet.chat("entry-1", Fleet.HOSPITAL, 9, false, "answer-1");
-        HttpResponse<String> second = fleet.chat("entry-2", Fleet.HOSPITAL, 9, false, "answer-1");
+        HttpResponse<String> first = fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 9, false, "answer-1");
+        HttpResponse<String> second = fleet.chat("entry-2", Fleet.HOSPITAL_KEY, 9, false, "answer-1");
         assertThat(second.body()).isEqualTo(first.body());
         fleet.stopEntries();
         assertThat(fleet.bills().stream().filter(item -> item.request().endsWith("/answer-1")))
                 .hasSize(1);
-        assertBilledIsWhatRan();
+        assertBillsMatchEngineRecords();
     }
 }
--- a/integration/src/test/java/org/streamring/integration/OperatorCommandTest.java
+++ b/integration/src/test/java/org/streamring/integration/OperatorCommandTest.java
@@ -47,13 +47,13 @@
     private int runWithKey(String key, String... words) {
         List<String> arguments = new ArrayList<>(List.of(words));
         arguments.addAll(List.of("--platform", platform.url(), "--operator-key", key, "--author", "tester"));
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream captured = new ByteArrayOutputStream();
         System.setOut(new PrintStream(captured, true, StandardCharsets.UTF_8));
         try {
             return OperatorMain.run(arguments.toArray(String[]::new));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
             output = captured.toString(StandardCharsets.UTF_8);
         }
     }
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void anotherVersionThanExpectedIsAConflict() {
+    public void aVersionOtherThanExpectedIsAConflict() {
         run("apply", EXAMPLE);
         assertThat(run("apply", "--expect-version", "7", EXAMPLE)).isEqualTo(3);
     }
@@ -84,7 +84,7 @@
         assertThat(run("budget", "top-up", "--budget", "none", "--tokens", "50"))
                 .isEqualTo(5);
         assertThat(run("budget", "top-up", "--budget", "trial", "--tokens", "-500"))
-                .as("more than remains")
+                .as("removing more tokens than remain")
                 .isEqualTo(5);
     }
 
@@ -102,7 +102,7 @@
     }
 
     @Test(dataProvider = "badInput")
-    public void badInputIsToldByItsExitCode(String... words) {
+    public void badInputIsReportedByItsExitCode(String... words) {
         assertThat(run(words)).isEqualTo(2);
     }
 
@@ -126,21 +126,21 @@
     @DataProvider
     public Object[][] samples() {
         return new Object[][] {
-            {"as shipped", "", "", 0},
-            {"another rank than expected", "expect_rank = 9", "expect_rank = 3", 5},
-            {"admitted against expectation", "prompt_tokens = 5000", "prompt_tokens = 50", 5},
-            {"another candidate first", "load = 0.30", "load = 0.40", 5},
+            {"unchanged samples", "", "", 0},
+            {"rank other than expected", "expect_rank = 9", "expect_rank = 3", 5},
+            {"admitted although a refusal is expected", "prompt_tokens = 5000", "prompt_tokens = 50", 5},
+            {"first candidate other than expected", "load = 0.30", "load = 0.40", 5},
             {"unknown account", "account = \"alarm-tagger\"", "account = \"nobody\"", 2},
             {"unknown service", "service = \"assist-llm\"", "service = \"nothing\"", 2},
             {"unknown key", "answer_tokens = 20", "answer_token = 20", 2},
             {"negative size", "answer_tokens = 20", "answer_tokens = -1", 2},
-            {"no sample", "[[requests]]", "[[candidates]]", 2},
-            {"no TOML", "[[requests]]", "[[requests", 2},
+            {"no sample request", "[[requests]]", "[[candidates]]", 2},
+            {"invalid TOML", "[[requests]]", "[[requests", 2},
         };
     }
 
     @Test(dataProvider = "samples")
-    public void policiesAreTriedOnSamples(String name, String text, String replacement, int exitCode)
+    public void policiesAreEvaluatedOnSamples(String name, String text, String replacement, int exitCode)
             throws IOException {
         String shipped = Files.readString(Fleet.root().resolve("examples/sebeta-samples.toml"));
         Path file = Files.createTempFile("samples", ".toml");
@@ -160,23 +160,23 @@
     }
 
     @Test
-    public void aNewKeyComesWithItsHash() throws Exception {
+    public void aNewKeyIsPrintedWithItsHash() throws Exception {
         assertThat(run("account", "new-key", "--output", "json")).isZero();
-        JsonNode made = new JsonMapper().readTree(output).get(0);
+        JsonNode created = new JsonMapper().readTree(output).get(0);
         byte[] hash = MessageDigest.getInstance("SHA-256")
-                .digest(made.get("key").asText().getBytes(StandardCharsets.UTF_8));
-        assertThat(made.get("key_sha256").asText()).isEqualTo(HexFormat.of().formatHex(hash));
+                .digest(created.get("key").asText().getBytes(StandardCharsets.UTF_8));
+        assertThat(created.get("key_sha256").asText()).isEqualTo(HexFormat.of().formatHex(hash));
     }
 
     @Test
-    public void theFleetsKeyMayNotChangeTheConfiguration() {
+    public void theAccessKeyOfTheFleetMayNotChangeTheConfiguration() {
         assertThat(runWithKey(Fleet.PLATFORM_KEY, "apply", EXAMPLE)).isEqualTo(4);
         assertThat(run("status", "--output", "json")).isZero();
         assertThat(output).contains("\"version\" : \"0\"");
     }
 
     @Test
-    public void anUnreachablePlatformIsToldByItsExitCode() {
+    public void anUnreachablePlatformIsReportedByItsExitCode() {
         platform.setFaults(new PlatformFaults(true, 0, 0, false, 0));
         assertThat(run("status")).isEqualTo(4);
     }
--- a/integration/src/test/java/org/streamring/integration/PlannedStopTest.java
+++ b/integration/src/test/java/org/streamring/integration/PlannedStopTest.java
@@ -17,53 +17,53 @@
 
     private CompletableFuture<HttpResponse<String>> openStream(String entry) {
         int before = fleet.engineRecords().size();
-        CompletableFuture<HttpResponse<String>> open = fleet.chatAsync(entry, Fleet.HOSPITAL, 200, true, "");
+        CompletableFuture<HttpResponse<String>> stream = fleet.chatAsync(entry, Fleet.HOSPITAL_KEY, 200, true, "");
         eventually("streaming")
-                .until(() ->
-                        fleet.leased(Fleet.BUDGET) > 0 || fleet.engineRecords().size() > before);
-        return open;
+                .until(() -> fleet.leasedTokens(Fleet.BUDGET) > 0
+                        || fleet.engineRecords().size() > before);
+        return stream;
     }
 
     @Test
-    public void aStoppingEntryFinishesItsStreamsAndGivesItsLeasesBack() throws Exception {
+    public void aStoppingEntryFinishesItsStreamsAndReturnsItsLeases() throws Exception {
         fleet = new Fleet(2, SLOW, 5).start(1);
-        CompletableFuture<HttpResponse<String>> open = openStream("entry-1");
+        CompletableFuture<HttpResponse<String>> stream = openStream("entry-1");
         Thread.sleep(300);
         fleet.stopEntries();
-        assertThat(open.get().body()).contains("\"outcome\":\"answered\"").contains("[DONE]");
-        assertBilledIsWhatRan();
+        assertThat(stream.get().body()).contains("\"outcome\":\"answered\"").contains("[DONE]");
+        assertBillsMatchEngineRecords();
     }
 
     @Test
-    public void aStoppingSidecarFinishesItsStreamsAndGetsNoNewWork() throws Exception {
+    public void aStoppingSidecarFinishesItsStreamsAndGetsNoNewRequests() throws Exception {
         fleet = new Fleet(2, SLOW, 5).start(1);
         CompletableFuture<HttpResponse<String>> first = openStream("entry-1");
         CompletableFuture<HttpResponse<String>> second = openStream("entry-1");
         Thread.sleep(300);
-        fleet.sidecars.get("assist-1").askToStop();
+        fleet.sidecars.get("assist-1").requestStop();
         for (int i = 0; i < 20; i++) {
-            assertThat(fleet.chat("entry-1", Fleet.HOSPITAL, 3, false, "").statusCode())
+            assertThat(fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 3, false, "").statusCode())
                     .isEqualTo(200);
         }
         assertThat(first.get().body()).contains("\"outcome\":\"answered\"");
         assertThat(second.get().body()).contains("\"outcome\":\"answered\"");
         fleet.sidecars.get("assist-1").awaitExit();
         fleet.stopEntries();
-        assertBilledIsWhatRan();
+        assertBillsMatchEngineRecords();
     }
 
     @Test
-    public void aDrainedBackendServerGetsNoNewWorkThoughTheBoxListSaysLive() throws Exception {
+    public void aDrainedBackendServerGetsNoNewRequestsAlthoughTheBoxListHasItAsLive() throws Exception {
         fleet = new Fleet(2, SLOW, 5).start(1);
         ConfigItem drain = new ConfigItem(DeclarationItems.BACKENDS, "assist-1", "{\"state\":\"DRAIN\"}");
         OperatorClient.Outcome outcome = fleet.operator("test")
                 .changeLatest(new OperatorClient.Wanted("backend drain", List.of(drain), List.of(), List.of()));
         assertThat(outcome).isInstanceOf(OperatorClient.Outcome.Applied.class);
-        eventually("in force")
+        eventually("the drain order is in force")
                 .until(() -> fleet.entries.get("entry-1").log().contains("configuration_in_force version=2"));
         int before = fleet.engines.get(0).records().size();
         for (int i = 0; i < 15; i++) {
-            assertThat(fleet.chat("entry-1", Fleet.HOSPITAL, 3, false, "").statusCode())
+            assertThat(fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 3, false, "").statusCode())
                     .isEqualTo(200);
         }
         assertThat(fleet.engines.get(0).records()).hasSize(before);
--- a/integration/src/test/java/org/streamring/integration/ReferenceTest.java
+++ b/integration/src/test/java/org/streamring/integration/ReferenceTest.java
@@ -21,12 +21,12 @@
     }
 
     @Test
-    public void everySettingStandsInTheReference() throws IOException {
+    public void everySettingIsInTheReference() throws IOException {
         assertThat(reference()).contains(EntrySettings.SCHEMA.describe(), SidecarSettings.SCHEMA.describe());
     }
 
     @Test
-    public void everyMetricStandsInTheReference() throws Exception {
+    public void everyMetricIsInTheReference() throws Exception {
         fleet = Fleet.small().start(1);
         Set<String> metrics = new TreeSet<>();
         metrics.addAll(metricsOf(fleet.entries.get("entry-1").adminPort()));
--- a/integration/src/test/java/org/streamring/integration/StoreOutageTest.java
+++ b/integration/src/test/java/org/streamring/integration/StoreOutageTest.java
@@ -12,32 +12,33 @@
 
 public class StoreOutageTest extends FleetTestBase {
     @Test
-    public void leasedTokensAreServedWhileTheStoreIsAway() throws Exception {
+    public void leasedTokensAreServedDuringAStoreOutage() throws Exception {
         fleet = Fleet.small().start(1);
         for (int i = 0; i < 40; i++) {
-            fleet.chat("entry-1", Fleet.HOSPITAL, 20, false, "");
+            fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 20, false, "");
         }
         fleet.platform.setFaults(new PlatformFaults(true, 0, 0, false, 0));
         int answered = 0;
         for (int i = 0; i < 20; i++) {
-            HttpResponse<String> response = fleet.chat("entry-1", Fleet.HOSPITAL, 20, false, "");
+            HttpResponse<String> response = fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 20, false, "");
             answered += Fleet.outcome(response).equals("answered") ? 1 : 0;
         }
         assertThat(answered).isEqualTo(20);
         fleet.platform.setFaults(PlatformFaults.NONE);
-        eventually("settles again")
-                .until(() -> fleet.chat("entry-1", Fleet.HOSPITAL, 2, false, "").statusCode() == 200);
+        eventually("requests are served again")
+                .until(() ->
+                        fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 2, false, "").statusCode() == 200);
         fleet.stopEntries();
-        assertBilledIsWhatRan();
+        assertBillsMatchEngineRecords();
     }
 
     @Test
-    public void aBudgetWithoutLeaseIsRefusedAtOnceWhileTheStoreIsAway() throws Exception {
+    public void aBudgetWithoutLeaseIsRefusedAtOnceDuringAStoreOutage() throws Exception {
         fleet = Fleet.small().start(1);
         fleet.platform.setFaults(new PlatformFaults(true, 0, 0, false, 0));
-        eventually("the outage is noticed")
+        eventually("the outage is detected")
                 .until(() -> fleet.entries.get("entry-1").log().contains("table_away"));
-        HttpResponse<String> response = fleet.chat("entry-1", Fleet.CREWS, 20, false, "");
+        HttpResponse<String> response = fleet.chat("entry-1", Fleet.CREWS_KEY, 20, false, "");
         assertThat(response.statusCode()).isEqualTo(503);
         assertThat(Fleet.outcome(response)).isEqualTo("not-run");
         assertThat(response.headers().firstValue("Retry-After")).isPresent();
@@ -47,24 +48,24 @@
     public void aStopGivesBackALeaseWhoseAnswerWasLost() throws Exception {
         fleet = Fleet.small().start(1);
         fleet.platform.setFaults(new PlatformFaults(false, 0, 1, false, 0));
-        HttpResponse<String> response = fleet.chat("entry-1", Fleet.CREWS, 20, false, "");
+        HttpResponse<String> response = fleet.chat("entry-1", Fleet.CREWS_KEY, 20, false, "");
         assertThat(Fleet.outcome(response)).isEqualTo("not-run");
-        eventually("the lease is taken in the table").until(() -> fleet.leased("installers") > 0);
-        fleet.entries.get("entry-1").askToStop();
+        eventually("the lease is recorded in the table").until(() -> fleet.leasedTokens("installers") > 0);
+        fleet.entries.get("entry-1").requestStop();
         eventually("the stop has begun")
                 .until(() -> fleet.entries.get("entry-1").log().contains("entry_stopping"));
         fleet.platform.setFaults(PlatformFaults.NONE);
         fleet.stopEntries();
-        assertBilledIsWhatRan();
+        assertBillsMatchEngineRecords();
     }
 
     @Test
-    public void aStopEndsSoonWhileTheStoreIsAway() throws Exception {
+    public void anEntryStopsPromptlyDuringAStoreOutage() throws Exception {
         fleet = Fleet.small().start(1);
-        fleet.chat("entry-1", Fleet.HOSPITAL, 20, false, "");
+        fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 20, false, "");
         fleet.platform.setFaults(new PlatformFaults(true, 0, 0, false, 0));
-        fleet.entries.get("entry-1").askToStop();
-        eventually("the entry has ended")
+        fleet.entries.get("entry-1").requestStop();
+        eventually("the entry has exited")
                 .atMost(Duration.ofSeconds(25))
                 .until(() -> !fleet.entries.get("entry-1").isAlive());
     }
@@ -72,23 +73,23 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {"lost answers", new PlatformFaults(false, 0, 3, false, 0)},
-            {"lost answers, late writes", new PlatformFaults(false, 0, 3, false, 700)},
-            {"slow", new PlatformFaults(false, 300, 0, false, 0)},
-            {"object store away", new PlatformFaults(false, 0, 0, true, 0)},
+            {"lost responses", new PlatformFaults(false, 0, 3, false, 0)},
+            {"lost responses, late writes", new PlatformFaults(false, 0, 3, false, 700)},
+            {"slow responses", new PlatformFaults(false, 300, 0, false, 0)},
+            {"object store unavailable", new PlatformFaults(false, 0, 0, true, 0)},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void accountsAgreeWhateverTheStoreDoes(String name, PlatformFaults faults) throws Exception {
+    public void billsMatchEngineRecordsDespiteStoreFaults(String name, PlatformFaults faults) throws Exception {
         fleet = Fleet.small().withLedgerProfile("prompt").start(2);
         fleet.platform.setFaults(faults);
         for (int i = 0; i < 60; i++) {
-            fleet.chat("entry-" + (1 + i % 2), i % 3 == 0 ? Fleet.CREWS : Fleet.HOSPITAL, 15, i % 2 == 0, "");
+            fleet.chat("entry-" + (1 + i % 2), i % 3 == 0 ? Fleet.CREWS_KEY : Fleet.HOSPITAL_KEY, 15, i % 2 == 0, "");
         }
         fleet.platform.setFaults(PlatformFaults.NONE);
         fleet.stopEntries();
-        assertBilledIsWhatRan();
-        assertThat(fleet.amount(RowKeys.settled(Fleet.BUDGET))).as(name).isPositive();
+        assertBillsMatchEngineRecords();
+        assertThat(fleet.rowAmount(RowKeys.settled(Fleet.BUDGET))).as(name).isPositive();
     }
 }
--- a/integration/src/test/java/org/streamring/integration/WholePathTest.java
+++ b/integration/src/test/java/org/streamring/integration/WholePathTest.java
@@ -27,7 +27,7 @@
 
     @Test
     public void aStreamedAnswerEndsWithItsOutcome() {
-        HttpResponse<String> response = fleet.chat("entry-1", Fleet.HOSPITAL, 12, true, "");
+        HttpResponse<String> response = fleet.chat("entry-1", Fleet.HOSPITAL_KEY, 12, true, "");
         assertThat(response.statusCode()).isEqualTo(200);
         assertThat(response.body().split("\"content\":\"word \"", -1)).hasSize(13);
         assertThat(response.body()).doesNotContain("\"usage\"").contains("data: [DONE]");
@@ -38,8 +38,8 @@
     }
 
     @Test
-    public void usageIsShownInAStreamIfTheCallerAskedForIt() {
-        HttpResponse<String> response = fleet.send(fleet.request("entry-1", "/v1/chat/completions", Fleet.HOSPITAL)
+    public void usageIsSentInAStreamIfTheCallerRequestedIt() {
+        HttpResponse<String> response = fleet.send(fleet.request("entry-1", "/v1/chat/completions", Fleet.HOSPITAL_KEY)
                 .POST(HttpRequest.BodyPublishers.ofString("""
                         {"model":"assist","messages":[{"role":"user","content":"hi"}],"max_tokens":3,"stream":true,\
                         "stream_options":{"include_usage":true},"unknown_field":{"a":1}}"""))
@@ -48,8 +48,8 @@
     }
 
     @Test
-    public void aWholeAnswerCarriesUsageAndOutcome() {
-        HttpResponse<String> response = fleet.chat("entry-2", Fleet.CREWS, 7, false, "");
+    public void anUnstreamedAnswerCarriesUsageAndOutcome() {
+        HttpResponse<String> response = fleet.chat("entry-2", Fleet.CREWS_KEY, 7, false, "");
         assertThat(response.statusCode()).isEqualTo(200);
         assertThat(response.body()).contains("\"completion_tokens\":7");
         assertThat(Fleet.outcome(response)).isEqualTo("answered");
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void aPlainCallIsPassedOn() {
+    public void aPlainCallIsForwarded() {
         HttpResponse<String> response = fleet.plain("entry-1", "PUT", "/checkins/7", "");
         assertThat(response.body()).contains("\"method\":\"PUT\"").contains("/checkins/7");
     }
@@ -65,22 +65,28 @@
     @DataProvider
     public Object[][] badCalls() {
         String chat = "/v1/chat/completions";
-        String good = Fleet.chatBody(5, false);
+        String validBody = Fleet.chatBody(5, false);
         String prompt = "\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]";
         return new Object[][] {
-            {chat, "nobody", good, 401, "unknown_key"},
+            {chat, "nobody", validBody, 401, "unknown_key"},
             {chat, "quickstart-trial-user", Fleet.chatBody(400, false), 402, "budget_used_up"},
-            {chat, Fleet.HOSPITAL, "{not json", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "[]", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "{\"model\":\"assist\"}", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "{\"model\":\"assist\"," + prompt + ",\"max_tokens\":-4}", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "{\"model\":\"assist\"," + prompt + ",\"max_tokens\":\"many\"}", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "{\"model\":\"assist\"," + prompt + ",\"n\":1000}", 400, "bad_request"},
-            {chat, Fleet.HOSPITAL, "{\"model\":\"other\"," + prompt + "}", 404, "unknown_service"},
-            {"/nowhere", Fleet.HOSPITAL, good, 404, "unknown_service"},
-            {"/services/nothing/x", Fleet.HOSPITAL, good, 404, "unknown_service"},
-            {"/services/assist-llm/x", Fleet.HOSPITAL, good, 404, "unknown_service"},
-            {chat, Fleet.HOSPITAL, "x".repeat(2 << 20), 413, "too_large"},
+            {chat, Fleet.HOSPITAL_KEY, "{not json", 400, "bad_request"},
+            {chat, Fleet.HOSPITAL_KEY, "[]", 400, "bad_request"},
+            {chat, Fleet.HOSPITAL_KEY, "{\"model\":\"assist\"}", 400, "bad_request"},
+            {chat, Fleet.HOSPITAL_KEY, "{\"model\":\"assist\"," + prompt + ",\"max_tokens\":-4}", 400, "bad_request"},
+            {
+                chat,
+                Fleet.HOSPITAL_KEY,
+                "{\"model\":\"assist\"," + prompt + ",\"max_tokens\":\"many\"}",
+                400,
+                "bad_request"
+            },
+            {chat, Fleet.HOSPITAL_KEY, "{\"model\":\"assist\"," + prompt + ",\"n\":1000}", 400, "bad_request"},
+            {chat, Fleet.HOSPITAL_KEY, "{\"model\":\"other\"," + prompt + "}", 404, "unknown_service"},
+            {"/nowhere", Fleet.HOSPITAL_KEY, validBody, 404, "unknown_service"},
+            {"/services/nothing/x", Fleet.HOSPITAL_KEY, validBody, 404, "unknown_service"},
+            {"/services/assist-llm/x", Fleet.HOSPITAL_KEY, validBody, 404, "unknown_service"},
+            {chat, Fleet.HOSPITAL_KEY, "x".repeat(2 << 20), 413, "too_large"},
         };
     }
 
@@ -96,7 +102,7 @@
 
     @Test
     public void hugeHeadersAreRefused() {
-        HttpResponse<String> response = fleet.send(fleet.request("entry-1", "/v1/chat/completions", Fleet.HOSPITAL)
+        HttpResponse<String> response = fleet.send(fleet.request("entry-1", "/v1/chat/completions", Fleet.HOSPITAL_KEY)
                 .header("X-Huge", "x".repeat(40_000))
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
                 .build());
