--- a/cli/src/main/java/org/streamring/cli/AccountCommands.java
+++ b/cli/src/main/java/org/streamring/cli/AccountCommands.java
@@ -18,14 +18,14 @@
 import org.streamring.net.settings.SettingsException;
 import org.streamring.platform.BillArchive;
 
-/** Commands on client accounts. */
+/** Commands that show client accounts and create keys for them. */
 final class AccountCommands {
     private static final int KEY_BYTES = 32;
 
     private AccountCommands() {}
 
-    /** Shows all accounts. */
-    @Command(name = "list", description = "Show client accounts")
+    /** Lists all client accounts. */
+    @Command(name = "list", description = "List client accounts")
     public static final class ListAll extends OperatorCommand {
         @Override
         void execute() throws CommandException, SettingsException, PlatformException {
@@ -46,10 +46,12 @@
         }
     }
 
-    /** Shows one account. */
-    @Command(name = "show", description = "Show a client account: what it may do, what it was billed, what remains")
+    /** Shows a client account with its budget and bills. */
+    @Command(
+            name = "show",
+            description = "Show a client account: its services, its bills and the remaining tokens of its budget")
     public static final class Show extends OperatorCommand {
-        @Arguments(title = "account", description = "The client account")
+        @Arguments(title = "account", description = "Name of the client account")
         @Required
         private String name = "";
 
@@ -59,7 +61,7 @@
                 AccountDeclaration account =
                         client.state().declarations().accounts().get(name);
                 if (account == null) {
-                    throw new CommandException(ExitCode.NOT_POSSIBLE, "no client account is named " + name);
+                    throw new CommandException(ExitCode.NOT_POSSIBLE, "no client account has the name " + name);
                 }
                 List<BillItem> bills = new BillArchive(services.objects())
                         .items().stream()
@@ -82,10 +84,10 @@
         }
     }
 
-    /** Makes a key. */
+    /** Creates a key for a client account. */
     @Command(
             name = "new-key",
-            description = "Make a key for a client account, and the hash to declare; neither is kept anywhere")
+            description = "Create a key for a client account, and the hash to declare; neither is stored")
     public static final class NewKey extends OperatorCommand {
         @Override
         void execute() {
--- a/cli/src/main/java/org/streamring/cli/BackendCommands.java
+++ b/cli/src/main/java/org/streamring/cli/BackendCommands.java
@@ -11,11 +11,11 @@
 import org.streamring.model.declaration.BackendOrder;
 import org.streamring.net.settings.SettingsException;
 
-/** Commands on single backend servers. */
+/** Commands that start, drain and stop single backend servers. */
 final class BackendCommands {
     private BackendCommands() {}
 
-    abstract static class Order extends OperatorCommand {
+    abstract static class OrderCommand extends OperatorCommand {
         @Arguments(title = "backend", description = "Name of the backend server's box")
         @Required
         private String backend = "";
@@ -28,34 +28,34 @@
                 ConfigItem item =
                         new ConfigItem(DeclarationItems.BACKENDS, backend, RowText.write(new BackendOrder(state())));
                 String action = "backend " + state().name().toLowerCase(java.util.Locale.ROOT);
-                long version = applied(
+                long version = requireApplied(
                         client.changeLatest(new OperatorClient.Wanted(action, List.of(item), List.of(), List.of())));
                 System.out.println("ordered; version " + version);
             });
         }
     }
 
-    /** Takes new work. */
-    @Command(name = "start", description = "Let a backend server take new work")
-    public static final class Start extends Order {
+    /** Orders a backend server to take new requests. */
+    @Command(name = "start", description = "Let a backend server take new requests")
+    public static final class Start extends OrderCommand {
         @Override
         BackendOrder.State state() {
             return BackendOrder.State.START;
         }
     }
 
-    /** Finishes open work only. */
-    @Command(name = "drain", description = "Give a backend server no new work; open requests finish")
-    public static final class Drain extends Order {
+    /** Orders a backend server to take no new requests and finish the open ones. */
+    @Command(name = "drain", description = "Send a backend server no new requests; open requests finish")
+    public static final class Drain extends OrderCommand {
         @Override
         BackendOrder.State state() {
             return BackendOrder.State.DRAIN;
         }
     }
 
-    /** Is taken out. */
-    @Command(name = "stop", description = "Take a backend server out; open requests finish")
-    public static final class Stop extends Order {
+    /** Takes a backend server out of service. */
+    @Command(name = "stop", description = "Take a backend server out of service; open requests finish")
+    public static final class Stop extends OrderCommand {
         @Override
         BackendOrder.State state() {
             return BackendOrder.State.STOP;
--- a/cli/src/main/java/org/streamring/cli/BudgetCommands.java
+++ b/cli/src/main/java/org/streamring/cli/BudgetCommands.java
@@ -16,14 +16,14 @@
 import org.streamring.kernel.table.RowText;
 import org.streamring.net.settings.SettingsException;
 
-/** Commands on budgets. */
+/** Commands that show and change budgets. */
 final class BudgetCommands {
     private BudgetCommands() {}
 
-    /** Shows budgets. */
+    /** Shows the token amounts of budgets. */
     @Command(name = "show", description = "Show budgets: granted, settled, leased, held and remaining tokens")
     public static final class Show extends OperatorCommand {
-        @Arguments(title = "budget", description = "A budget; all if left out")
+        @Arguments(title = "budget", description = "Name of a budget; all budgets if omitted")
         private String budget = "";
 
         @Override
@@ -65,18 +65,20 @@
 
     private static void requireBudget(Map<String, ?> declared, String budget) throws CommandException {
         if (!declared.containsKey(budget)) {
-            throw new CommandException(ExitCode.NOT_POSSIBLE, "no budget is named " + budget);
+            throw new CommandException(ExitCode.NOT_POSSIBLE, "no budget has the name " + budget);
         }
     }
 
-    /** Grants more tokens. */
+    /** Grants tokens to a budget. */
     @Command(name = "top-up", description = "Grant more tokens to a budget")
     public static final class TopUp extends OperatorCommand {
-        @Option(name = "--budget", description = "The budget")
+        @Option(name = "--budget", description = "Name of the budget")
         @Required
         private String budget = "";
 
-        @Option(name = "--tokens", description = "Tokens to grant; negative to take back what is not leased")
+        @Option(
+                name = "--tokens",
+                description = "Tokens to grant; a negative number removes tokens that are not leased")
         @Required
         private long tokens;
 
@@ -85,15 +87,15 @@
             withPlatform((client, services) -> {
                 requireBudget(client.state().declarations().budgets(), budget);
                 ConfigChange.Grant grant = new ConfigChange.Grant(budget, tokens, false);
-                long version = applied(
+                long version = requireApplied(
                         client.changeLatest(new OperatorClient.Wanted("top-up", List.of(), List.of(grant), List.of())));
                 System.out.println("granted; version " + version);
             });
         }
     }
 
-    /** Lists held tokens. */
-    @Command(name = "held", description = "List tokens that are held because nobody can say whether they were spent")
+    /** Lists tokens that are held because it is unknown whether they were spent. */
+    @Command(name = "held", description = "List tokens that are held because it is unknown whether they were spent")
     public static final class Held extends OperatorCommand {
         @Override
         void execute() throws CommandException, SettingsException, PlatformException {
@@ -113,12 +115,12 @@
         }
     }
 
-    /** Decides on held tokens. */
+    /** Settles held tokens by a decision of the operator. */
     @Command(
             name = "decide-held",
-            description = "Decide how many of the held tokens count as spent; the others go back")
+            description = "Decide how many of the held tokens count as spent; the rest is returned to the budget")
     public static final class DecideHeld extends OperatorCommand {
-        @Option(name = "--id", description = "Identifier as 'budget held' shows it")
+        @Option(name = "--id", description = "Identifier shown by 'budget held'")
         @Required
         private String id = "";
 
@@ -131,17 +133,17 @@
             withPlatform((client, services) -> {
                 Row row = client.read(List.of(RowKeys.HELD + id)).get(RowKeys.HELD + id);
                 if (row == null) {
-                    throw new CommandException(ExitCode.NOT_POSSIBLE, "nothing is held under " + id);
+                    throw new CommandException(ExitCode.NOT_POSSIBLE, "no tokens are held under identifier " + id);
                 }
                 if (spent < 0 || spent > row.amount()) {
-                    throw new CommandException(ExitCode.BAD_INPUT, "--spent must be 0 to " + row.amount());
+                    throw new CommandException(ExitCode.BAD_INPUT, "--spent must be between 0 and " + row.amount());
                 }
                 OperatorClient.Wanted wanted = new OperatorClient.Wanted(
                         "decide-held " + id + " spent " + spent,
                         List.of(),
                         List.of(),
                         new HeldResolver("operator").onDecision(row, spent));
-                System.out.println("decided; version " + applied(client.changeLatest(wanted)));
+                System.out.println("decided; version " + requireApplied(client.changeLatest(wanted)));
             });
         }
     }
--- a/cli/src/main/java/org/streamring/cli/CommandException.java
+++ b/cli/src/main/java/org/streamring/cli/CommandException.java
@@ -1,6 +1,6 @@
 package org.streamring.cli;
 
-/** A command that can't be carried out. */
+/** Thrown if a command cannot be executed. Holds the exit code of the program. */
 final class CommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/org/streamring/cli/DeclarationCommands.java
+++ b/cli/src/main/java/org/streamring/cli/DeclarationCommands.java
@@ -21,13 +21,15 @@
 import org.streamring.net.settings.DeclarationReader;
 import org.streamring.net.settings.SettingsException;
 
-/** Commands on declaration files. */
+/** Commands that check, compare and apply declaration files. */
 final class DeclarationCommands {
     private DeclarationCommands() {}
 
-    /** Common part: reads files and compiles their policies. */
-    abstract static class OnFiles extends OperatorCommand {
-        @Arguments(title = "file", description = "Declaration files (TOML), which together are one whole")
+    /** Base class of commands that read declaration files and compile their policies. */
+    abstract static class FileCommand extends OperatorCommand {
+        @Arguments(
+                title = "file",
+                description = "Declaration files (TOML), which together declare the whole configuration")
         @Required
         private List<String> files = new ArrayList<>();
 
@@ -38,29 +40,33 @@
             return declared;
         }
 
-        /** Compiles all policies; every one that can't be compiled is reported. */
+        /**
+         * Compiles all policies.
+         *
+         * @throws SettingsException if policies cannot be compiled; its message lists all of them
+         */
         Map<String, CompiledPolicy> compile(Declarations declared) throws SettingsException {
             Map<String, CompiledPolicy> compiled = new TreeMap<>();
-            List<String> mistakes = new ArrayList<>();
+            List<String> errors = new ArrayList<>();
             PolicyCompiler compiler = PolicyCompiler.load();
             for (Map.Entry<String, PolicyDeclaration> policy :
                     declared.policies().entrySet()) {
                 try {
                     compiled.put(policy.getKey(), compiler.compile(policy.getKey(), policy.getValue()));
                 } catch (PolicyException e) {
-                    mistakes.add("policies." + e.getMessage());
+                    errors.add("policies." + e.getMessage());
                 }
             }
-            if (!mistakes.isEmpty()) {
-                throw new SettingsException(files.toString(), mistakes);
+            if (!errors.isEmpty()) {
+                throw new SettingsException(files.toString(), errors);
             }
             return compiled;
         }
     }
 
-    /** Checks files. */
-    @Command(name = "check", description = "Check declaration files; every mistake is reported")
-    public static final class Check extends OnFiles {
+    /** Checks declaration files. */
+    @Command(name = "check", description = "Check declaration files and report all errors")
+    public static final class Check extends FileCommand {
         @Override
         void execute() throws SettingsException {
             declarations();
@@ -68,9 +74,9 @@
         }
     }
 
-    /** Shows what applying files would change. */
-    @Command(name = "diff", description = "Show what applying declaration files would change")
-    public static final class Diff extends OnFiles {
+    /** Shows the changes that applying declaration files would make. */
+    @Command(name = "diff", description = "Show the changes that applying declaration files would make")
+    public static final class Diff extends FileCommand {
         @Override
         void execute() throws CommandException, SettingsException, PlatformException {
             Declarations wanted = declarations();
@@ -93,13 +99,13 @@
         return report;
     }
 
-    /** Puts files in force. */
-    @Command(name = "apply", description = "Put declaration files in force")
-    public static final class Apply extends OnFiles {
-        private static final long ANY = -1;
+    /** Applies declaration files. */
+    @Command(name = "apply", description = "Apply declaration files")
+    public static final class Apply extends FileCommand {
+        private static final long ANY_VERSION = -1;
 
         @Option(name = "--expect-version", description = "Apply only on top of this version")
-        private long expectVersion = ANY;
+        private long expectVersion = ANY_VERSION;
 
         @Override
         void execute() throws CommandException, SettingsException, PlatformException {
@@ -109,7 +115,7 @@
 
         private void apply(OperatorClient client, Declarations wanted) throws CommandException, PlatformException {
             OperatorClient.State state = client.state();
-            if (expectVersion != ANY && state.version() != expectVersion) {
+            if (expectVersion != ANY_VERSION && state.version() != expectVersion) {
                 throw new CommandException(
                         ExitCode.CONFLICT,
                         "not applied: version %d was expected, %d is in force"
@@ -126,10 +132,10 @@
                 if (current.version() != version) {
                     throw new CommandException(
                             ExitCode.CONFLICT,
-                            "applied up to version %d; another operator went on to %d"
+                            "applied up to version %d; another operator has changed the configuration to version %d"
                                     .formatted(version, current.version()));
                 }
-                version = applied(client.change(
+                version = requireApplied(client.change(
                         current, new OperatorClient.Wanted("apply", part.items(), part.grants(), List.of())));
             }
             System.out.println("applied; version " + version);
--- a/cli/src/main/java/org/streamring/cli/OperatorClient.java
+++ b/cli/src/main/java/org/streamring/cli/OperatorClient.java
@@ -24,21 +24,22 @@
 import org.streamring.model.declaration.Declarations;
 
 /**
- * Reads and changes the configuration. Every change is one transaction that moves the version and writes its audit row;
- * a lost answer is resolved by the change's own identifier.
+ * Reads and changes the configuration. Each change is one transaction, which increments the version and writes an audit
+ * row. If the response to a transaction is lost, the identifier in the audit row shows whether the change was applied.
  */
 public final class OperatorClient {
-    private static final int PAGE = 500;
-    private static final int TRIES = 10;
-    private static final Duration PAUSE = Duration.ofMillis(300);
+    private static final int PAGE_ROWS = 500;
+    private static final int MAX_ATTEMPTS = 10;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(300);
 
     private final PlatformTable table;
     private final String author;
 
     /**
-     * Creates one.
+     * Creates a client.
      *
-     * @param author who makes the changes
+     * @param table table that holds the configuration
+     * @param author author of the changes in the audit trail
      */
     public OperatorClient(PlatformTable table, String author) {
         this.table = table;
@@ -46,18 +47,18 @@
     }
 
     /**
-     * The configuration as read.
+     * The configuration at one version.
      *
-     * @param versionRow row of the version; version 0 if nothing was ever applied
-     * @param items rows of items by key
+     * @param versionRow row with the version as its amount, which is 0 if no change was ever applied
+     * @param items rows of the configuration items, by key
      */
     public record State(Row versionRow, Map<String, Row> items) {
-        /** Version in force. */
+        /** Returns the version of the configuration. */
         public long version() {
             return versionRow.amount();
         }
 
-        /** What is declared. */
+        /** Returns the declarations of the configuration. */
         public Declarations declarations() {
             return DeclarationItems.join(
                     items.values().stream().map(OperatorClient::item).toList());
@@ -65,16 +66,16 @@
     }
 
     /**
-     * What a change sets, removes and grants.
+     * The content of a change.
      *
-     * @param action name of the action, for the audit trail
+     * @param action name of the action in the audit trail
      * @param items items to set or remove
      * @param grants tokens to grant
-     * @param further further operations of the same transaction
+     * @param further additional operations of the same transaction
      */
     public record Wanted(
             String action, List<ConfigItem> items, List<ConfigChange.Grant> grants, List<RowOperation> further) {
-        /** Copies the lists. */
+        /** Makes unmodifiable copies of the lists. */
         public Wanted {
             items = List.copyOf(items);
             grants = List.copyOf(grants);
@@ -82,19 +83,19 @@
         }
     }
 
-    /** What became of a change. */
+    /** The outcome of a change. */
     public sealed interface Outcome {
-        /** In force at this version. */
+        /** The change was applied and created this version. */
         record Applied(long version) implements Outcome {}
 
-        /** The version had moved. */
+        /** Another change was applied first; the configuration is at the given version. */
         record Conflict(long version, String changedBy) implements Outcome {}
 
-        /** A condition of the change itself does not hold. */
-        record Impossible(String why) implements Outcome {}
+        /** A condition of the change other than the version does not hold. */
+        record Impossible(String reason) implements Outcome {}
     }
 
-    /** Reads the configuration, all at one version. */
+    /** Reads the configuration at one version. Repeats the read if a change was applied meanwhile. */
     public State state() throws PlatformException {
         while (true) {
             Row before = versionRow();
@@ -111,20 +112,20 @@
         return rows.isEmpty() ? new Row(RowKeys.CONFIG_VERSION, 0, 0, "") : rows.get(0);
     }
 
-    /** Reads all rows with a prefix and a key after the given one. */
+    /** Returns all rows whose key has the prefix and follows the given key. */
     public List<Row> scan(String prefix, String afterKey) throws PlatformException {
         List<Row> rows = new ArrayList<>();
         String after = afterKey;
         List<Row> page;
         do {
-            page = table.scan(prefix, after, PAGE);
+            page = table.scan(prefix, after, PAGE_ROWS);
             rows.addAll(page);
             after = page.isEmpty() ? after : page.get(page.size() - 1).key();
-        } while (page.size() == PAGE);
+        } while (page.size() == PAGE_ROWS);
         return rows;
     }
 
-    /** Reads rows by key. */
+    /** Returns the existing rows of the given keys, by key. */
     public Map<String, Row> read(List<String> keys) throws PlatformException {
         Map<String, Row> rows = new HashMap<>();
         table.read(keys).forEach(row -> rows.put(row.key(), row));
@@ -137,7 +138,7 @@
         return new ConfigItem(path.substring(0, slash), path.substring(slash + 1), row.text());
     }
 
-    /** Makes a change on top of the state as read. */
+    /** Applies a change to the given state. Returns a conflict if the state is no longer current. */
     public Outcome change(State state, Wanted wanted) throws PlatformException {
         ConfigChange change = new ConfigChange(
                 state.version() + 1,
@@ -153,32 +154,32 @@
         return resolve(change, transact(new Transaction(base.id(), operations)));
     }
 
-    /** Makes a change on top of whatever is in force, as often as another operator is faster. */
+    /** Applies a change to the current configuration. Retries up to 10 times after a conflict with another operator. */
     public Outcome changeLatest(Wanted wanted) throws PlatformException {
         Outcome outcome = change(state(), wanted);
-        for (int i = 0; i < TRIES && outcome instanceof Outcome.Conflict; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS && outcome instanceof Outcome.Conflict; i++) {
             outcome = change(state(), wanted);
         }
         return outcome;
     }
 
-    /** Repeats the same transaction while no answer comes; it takes effect at most once. */
+    /** Sends a transaction up to 10 times until there is a response. It takes effect at most once. */
     private TransactionResult transact(Transaction transaction) throws PlatformException {
         for (int attempt = 1; ; attempt++) {
             try {
                 return table.transact(transaction);
             } catch (PlatformException e) {
-                if (attempt == TRIES) {
+                if (attempt == MAX_ATTEMPTS) {
                     throw e;
                 }
-                pause(e);
+                waitBeforeRetry(e);
             }
         }
     }
 
-    private static void pause(PlatformException cause) throws PlatformException {
+    private static void waitBeforeRetry(PlatformException cause) throws PlatformException {
         try {
-            Thread.sleep(PAUSE.toMillis());
+            Thread.sleep(RETRY_DELAY.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw cause;
@@ -190,18 +191,19 @@
             return new Outcome.Applied(change.version());
         }
         Rejected rejected = (Rejected) result;
-        Optional<ConfigChange> standing = rejected.on(RowKeys.change(change.version()))
+        Optional<ConfigChange> existing = rejected.on(RowKeys.change(change.version()))
                 .flatMap(TransactionResult.Failure::current)
                 .map(row -> RowText.read(row.text(), ConfigChange.class));
-        if (standing.isPresent() && standing.get().changeId().equals(change.changeId())) {
+        if (existing.isPresent() && existing.get().changeId().equals(change.changeId())) {
             return new Outcome.Applied(change.version());
         }
         Optional<TransactionResult.Failure> version = rejected.on(RowKeys.CONFIG_VERSION);
         if (version.isPresent()) {
-            long now = version.get().current().map(Row::amount).orElse(0L);
-            return new Outcome.Conflict(now, standing.map(ConfigChange::author).orElse("another operator"));
+            long currentVersion = version.get().current().map(Row::amount).orElse(0L);
+            return new Outcome.Conflict(
+                    currentVersion, existing.map(ConfigChange::author).orElse("another operator"));
         }
-        return new Outcome.Impossible("does not hold: "
+        return new Outcome.Impossible("conditions on these rows do not hold: "
                 + rejected.failures().stream()
                         .map(TransactionResult.Failure::key)
                         .toList());
--- a/cli/src/main/java/org/streamring/cli/OperatorCommand.java
+++ b/cli/src/main/java/org/streamring/cli/OperatorCommand.java
@@ -10,9 +10,9 @@
 import org.streamring.net.settings.SettingsException;
 import org.streamring.platform.PlatformProvider;
 
-/** What every command has: where the platform is, who asks, and how results are printed. */
+/** Base class of all commands. Holds the options for the platform, its access key, the author and the output format. */
 abstract class OperatorCommand implements Callable<Integer> {
-    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(5);
 
     @Option(
             name = "--platform",
@@ -29,16 +29,16 @@
     @Option(
             name = "--author",
             type = OptionType.GLOBAL,
-            description = "Who makes the change, for the audit trail (or STREAMRING_AUTHOR)")
+            description = "Author of the change in the audit trail (or STREAMRING_AUTHOR)")
     private String author = environment("STREAMRING_AUTHOR", environment("USER", "unknown"));
 
-    @Option(name = "--output", type = OptionType.GLOBAL, description = "table or json")
+    @Option(name = "--output", type = OptionType.GLOBAL, description = "Output format: table or json")
     @AllowedRawValues(allowedValues = {"table", "json"})
     private String output = "table";
 
-    private static String environment(String name, String otherwise) {
+    private static String environment(String name, String defaultValue) {
         String value = System.getenv(name);
-        return value == null ? otherwise : value;
+        return value == null ? defaultValue : value;
     }
 
     @Override
@@ -60,7 +60,7 @@
 
     abstract void execute() throws CommandException, SettingsException, PlatformException;
 
-    /** Does something with the platform's services. */
+    /** An action that uses the services of the platform. */
     interface PlatformAction {
         void run(OperatorClient client, PlatformProvider.Platform services)
                 throws CommandException, PlatformException, SettingsException;
@@ -72,7 +72,7 @@
                     ExitCode.BAD_INPUT, "--platform and --operator-key (or their environment variables) must be given");
         }
         try (PlatformProvider.Platform services =
-                PlatformProvider.named("http").open(URI.create(platform), operatorKey, TIMEOUT)) {
+                PlatformProvider.named("http").open(URI.create(platform), operatorKey, PLATFORM_TIMEOUT)) {
             action.run(new OperatorClient(services.table(), author), services);
         }
     }
@@ -81,7 +81,12 @@
         System.out.println(report.text(output.equals("json")));
     }
 
-    static long applied(OperatorClient.Outcome outcome) throws CommandException {
+    /**
+     * Returns the version at which a change was applied.
+     *
+     * @throws CommandException if the change was not applied
+     */
+    static long requireApplied(OperatorClient.Outcome outcome) throws CommandException {
         if (outcome instanceof OperatorClient.Outcome.Applied applied) {
             return applied.version();
         }
@@ -92,6 +97,6 @@
                             .formatted(conflict.version(), conflict.changedBy()));
         }
         OperatorClient.Outcome.Impossible impossible = (OperatorClient.Outcome.Impossible) outcome;
-        throw new CommandException(ExitCode.NOT_POSSIBLE, "not applied: " + impossible.why());
+        throw new CommandException(ExitCode.NOT_POSSIBLE, "not applied: " + impossible.reason());
     }
 }
--- a/cli/src/main/java/org/streamring/cli/OperatorMain.java
+++ b/cli/src/main/java/org/streamring/cli/OperatorMain.java
@@ -8,19 +8,23 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 
-/** The operator's program. */
+/** Entry point of the command-line program for operators. */
 public final class OperatorMain {
     private static final String HELP_COMMAND = "help";
     private static final String HELP_OPTION = "--help";
 
     private OperatorMain() {}
 
-    /** Runs a command. */
+    /** Runs a command and exits the JVM with its exit code. */
     public static void main(String[] arguments) {
         System.exit(run(arguments));
     }
 
-    /** Runs a command and returns its exit code. */
+    /**
+     * Runs a command, or prints its help if the arguments contain {@code --help}.
+     *
+     * @return the exit code
+     */
     public static int run(String... arguments) {
         List<String> words = List.of(arguments);
         if (words.contains(HELP_OPTION)) {
@@ -42,7 +46,7 @@
             System.err.println(e.getMessage());
             return ExitCode.BAD_INPUT;
         } catch (Exception e) {
-            System.err.println("failed: " + e);
+            System.err.println("command failed: " + e);
             return 1;
         }
     }
@@ -55,7 +59,7 @@
 
     private static Cli<Object> commandLine() {
         CliBuilder<Object> builder = Cli.builder("streamring")
-                .withDescription("Operates a streamring fleet")
+                .withDescription("Manages a streamring fleet")
                 .withDefaultCommand(Help.class)
                 .withCommand(Help.class)
                 .withCommand(DeclarationCommands.Check.class)
--- a/cli/src/main/java/org/streamring/cli/PolicyCommands.java
+++ b/cli/src/main/java/org/streamring/cli/PolicyCommands.java
@@ -15,11 +15,11 @@
 final class PolicyCommands {
     private PolicyCommands() {}
 
-    /** Dry run. */
+    /** Evaluates policies on sample requests. */
     @Command(
             name = "test",
-            description = "Try the policies of declaration files on sample requests; nothing is changed or asked")
-    public static final class Test extends DeclarationCommands.OnFiles {
+            description = "Evaluate the policies of declaration files on sample requests, without access to a platform")
+    public static final class Test extends DeclarationCommands.FileCommand {
         @Option(name = "--samples", description = "File of sample requests and candidates (TOML)")
         @Required
         private String samples = "";
@@ -44,20 +44,20 @@
             }
         }
 
-        /** Returns whether the sample is decided as expected. */
+        /** Adds the result of a sample to the report. Returns whether it was decided as expected. */
         private static boolean addRow(
                 PolicyDryRun dryRun, PolicySamples.Request request, PolicySamples samples, Report report) {
             try {
-                PolicyDryRun.Verdict verdict = dryRun.decide(request, samples.candidates());
+                PolicyDryRun.SampleResult result = dryRun.evaluate(request, samples.candidates());
                 report.row(
                         request.name(),
-                        verdict.decision().admitted() ? "yes" : "no",
-                        verdict.decision().admitted() ? verdict.decision().rank() : "-",
-                        verdict.ranking().stream()
-                                .map(PolicyDryRun.Scored::toString)
+                        result.decision().admitted() ? "yes" : "no",
+                        result.decision().admitted() ? result.decision().rank() : "-",
+                        result.ranking().stream()
+                                .map(PolicyDryRun.ScoredCandidate::toString)
                                 .collect(Collectors.joining(" ")),
-                        verdict.unmet().isEmpty() ? "met" : String.join(", ", verdict.unmet()));
-                return verdict.unmet().isEmpty();
+                        result.unmetExpectations().isEmpty() ? "met" : String.join(", ", result.unmetExpectations()));
+                return result.unmetExpectations().isEmpty();
             } catch (PolicyException e) {
                 report.row(request.name(), "no", "-", "", "can't be evaluated: " + e.getMessage());
                 return false;
--- a/cli/src/main/java/org/streamring/cli/PolicyDryRun.java
+++ b/cli/src/main/java/org/streamring/cli/PolicyDryRun.java
@@ -14,7 +14,7 @@
 import org.streamring.model.declaration.Declarations;
 import org.streamring.model.declaration.ServiceDeclaration;
 
-/** Tries declared policies on sample requests, without any process or platform. */
+/** Evaluates declared policies on sample requests, without access to a platform or other processes. */
 final class PolicyDryRun {
     private final Declarations declarations;
     private final Map<String, CompiledPolicy> policies;
@@ -25,28 +25,29 @@
     }
 
     /**
-     * What the policy makes of one sample.
+     * The result of a policy for one sample request.
      *
-     * @param decision whether it is admitted, and its rank
-     * @param ranking candidates by score, the one that would win first
-     * @param unmet expectations that do not hold, in words
+     * @param decision whether the request is admitted, and its rank
+     * @param ranking candidates by ascending score; the first one would be selected
+     * @param unmetExpectations descriptions of the expectations that are not met
      */
-    record Verdict(PolicyDecision decision, List<Scored> ranking, List<String> unmet) {}
+    record SampleResult(PolicyDecision decision, List<ScoredCandidate> ranking, List<String> unmetExpectations) {}
 
     /**
-     * A candidate with its score.
+     * A candidate and its score.
      *
      * @param name backend server
-     * @param score its cost; the lowest wins
+     * @param score cost of the backend server; the lowest is selected
      */
-    record Scored(String name, double score) {
+    record ScoredCandidate(String name, double score) {
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "%s=%.3f", name, score);
         }
     }
 
-    Verdict decide(PolicySamples.Request sample, List<PolicySamples.Candidate> candidates) throws PolicyException {
+    SampleResult evaluate(PolicySamples.Request sample, List<PolicySamples.Candidate> candidates)
+            throws PolicyException {
         CompiledPolicy policy = policyOf(declarations.services().get(sample.service()));
         PolicyInput input = PolicyInput.of(
                 sample.account(),
@@ -57,37 +58,38 @@
                 sample.answerTokens(),
                 !sample.notRepeatable());
         PolicyDecision decision = PolicyDecision.of(policy, input);
-        List<Scored> ranking = decision.admitted() ? rank(policy, input, candidates) : List.of();
-        return new Verdict(decision, ranking, unmet(sample, decision, ranking));
+        List<ScoredCandidate> ranking = decision.admitted() ? rank(policy, input, candidates) : List.of();
+        return new SampleResult(decision, ranking, unmetExpectations(sample, decision, ranking));
     }
 
     private CompiledPolicy policyOf(ServiceDeclaration service) {
         return policies.getOrDefault(service.policy(), new BuiltInPolicy());
     }
 
-    private static List<Scored> rank(CompiledPolicy policy, PolicyInput input, List<PolicySamples.Candidate> candidates)
-            throws PolicyException {
-        List<Scored> scored = new ArrayList<>();
+    private static List<ScoredCandidate> rank(
+            CompiledPolicy policy, PolicyInput input, List<PolicySamples.Candidate> candidates) throws PolicyException {
+        List<ScoredCandidate> scored = new ArrayList<>();
         for (PolicySamples.Candidate candidate : candidates) {
-            CandidateInput seen = new CandidateInput(
+            CandidateInput candidateInput = new CandidateInput(
                     candidate.name(), candidate.failureDomain(), candidate.sameDomain(), candidate.load());
-            scored.add(new Scored(candidate.name(), policy.score(input, seen)));
+            scored.add(new ScoredCandidate(candidate.name(), policy.score(input, candidateInput)));
         }
-        scored.sort(Comparator.comparingDouble(Scored::score));
+        scored.sort(Comparator.comparingDouble(ScoredCandidate::score));
         return scored;
     }
 
-    private static List<String> unmet(PolicySamples.Request sample, PolicyDecision decision, List<Scored> ranking) {
-        List<String> unmet = new ArrayList<>();
+    private static List<String> unmetExpectations(
+            PolicySamples.Request sample, PolicyDecision decision, List<ScoredCandidate> ranking) {
+        List<String> unmetExpectations = new ArrayList<>();
         sample.expectAdmit()
                 .filter(expected -> expected != decision.admitted())
-                .ifPresent(expected -> unmet.add("admit should be " + expected));
+                .ifPresent(expected -> unmetExpectations.add("admit should be " + expected));
         sample.expectRank()
                 .filter(expected -> !decision.admitted() || expected != decision.rank())
-                .ifPresent(expected -> unmet.add("rank should be " + expected));
+                .ifPresent(expected -> unmetExpectations.add("rank should be " + expected));
         sample.expectFirst()
                 .filter(expected -> ranking.isEmpty() || !ranking.get(0).name().equals(expected))
-                .ifPresent(expected -> unmet.add("first should be " + expected));
-        return unmet;
+                .ifPresent(expected -> unmetExpectations.add("first should be " + expected));
+        return unmetExpectations;
     }
 }
--- a/cli/src/main/java/org/streamring/cli/PolicySamples.java
+++ b/cli/src/main/java/org/streamring/cli/PolicySamples.java
@@ -10,31 +10,31 @@
 import org.streamring.net.settings.TomlFileReader;
 
 /**
- * Sample requests and candidates that policies are tried on.
+ * Sample requests and candidates for the evaluation of policies.
  *
  * @param requests sample requests
- * @param candidates backend servers that each admitted request is scored on
+ * @param candidates backend servers that are scored for each admitted request
  */
 record PolicySamples(List<Request> requests, List<Candidate> candidates) {
 
-    /** Fills in empty lists for what was left out. */
+    /** Replaces missing lists by empty ones. */
     PolicySamples(@Nullable List<Request> requests, @Nullable List<Candidate> candidates) {
         this.requests = requests == null ? List.of() : List.copyOf(requests);
         this.candidates = candidates == null ? List.of() : List.copyOf(candidates);
     }
 
     /**
-     * A sample request, and what is expected of the policy, where the operator has said so.
+     * A sample request, with optional expectations on the decision of the policy.
      *
-     * @param name what the request stands for
+     * @param name name of the sample in the report
      * @param account client account
-     * @param service service asked
-     * @param promptTokens bound on the prompt tokens
-     * @param answerTokens limit of the answer
-     * @param notRepeatable whether a second run would do harm
-     * @param expectAdmit whether it should be admitted; empty for no expectation
-     * @param expectRank its rank; empty for no expectation
-     * @param expectFirst the candidate with the lowest score; empty for no expectation
+     * @param service requested service
+     * @param promptTokens upper bound on the prompt tokens
+     * @param answerTokens maximum number of answer tokens
+     * @param notRepeatable whether the request must not run twice
+     * @param expectAdmit whether the request should be admitted; empty for no expectation
+     * @param expectRank expected rank; empty for no expectation
+     * @param expectFirst expected candidate with the lowest score; empty for no expectation
      */
     record Request(
             String name,
@@ -47,7 +47,7 @@
             Optional<Integer> expectRank,
             Optional<String> expectFirst) {
 
-        /** Fills in empty texts for what was left out. */
+        /** Replaces missing texts by empty ones. */
         Request {
             name = Optional.ofNullable(name).orElse("");
             account = Optional.ofNullable(account).orElse("");
@@ -56,48 +56,52 @@
     }
 
     /**
-     * A sample candidate.
+     * A sample backend server.
      *
-     * @param name backend server
-     * @param failureDomain its failure domain
-     * @param sameDomain whether that is the entry's own
-     * @param load attempts in progress or queued, over capacity
+     * @param name name of the backend server
+     * @param failureDomain failure domain of the backend server
+     * @param sameDomain whether the entry is in the same failure domain
+     * @param load attempts in progress or queued, divided by the capacity
      */
     record Candidate(String name, String failureDomain, boolean sameDomain, double load) {
-        /** Fills in empty texts for what was left out. */
+        /** Replaces missing texts by empty ones. */
         Candidate {
             name = Optional.ofNullable(name).orElse("");
             failureDomain = Optional.ofNullable(failureDomain).orElse("");
         }
     }
 
-    /** Reads samples and checks that the accounts and services they name are declared. */
+    /**
+     * Reads samples and checks that their accounts and services are declared.
+     *
+     * @throws SettingsException if the file cannot be read or a sample is invalid
+     */
     static PolicySamples read(Path file, Declarations declarations) throws SettingsException {
-        List<String> mistakes = new ArrayList<>();
-        PolicySamples samples = TomlFileReader.read(file, PolicySamples.class, mistakes);
+        List<String> errors = new ArrayList<>();
+        PolicySamples samples = TomlFileReader.read(file, PolicySamples.class, errors);
         if (samples.requests().isEmpty()) {
-            mistakes.add("requests: at least one sample request must be given");
+            errors.add("requests: at least one sample request must be given");
         }
         for (int i = 0; i < samples.requests().size(); i++) {
-            check("requests[" + i + "]", samples.requests().get(i), declarations, mistakes);
+            check("requests[" + i + "]", samples.requests().get(i), declarations, errors);
         }
-        if (!mistakes.isEmpty()) {
-            throw new SettingsException(file.toString(), mistakes);
+        if (!errors.isEmpty()) {
+            throw new SettingsException(file.toString(), errors);
         }
         return samples;
     }
 
-    private static void check(String key, Request request, Declarations declarations, List<String> mistakes) {
+    private static void check(String key, Request request, Declarations declarations, List<String> errors) {
         if (!declarations.accounts().containsKey(request.account())) {
-            mistakes.add("%s.account = \"%s\": allowed is one of %s"
+            errors.add("%s.account = \"%s\": allowed is one of %s"
                     .formatted(key, request.account(), declarations.accounts().keySet()));
         }
         if (!declarations.services().containsKey(request.service())) {
-            mistakes.add("%s.service = \"%s\": allowed is one of %s"
+            errors.add("%s.service = \"%s\": allowed is one of %s"
                     .formatted(key, request.service(), declarations.services().keySet()));
         }
         if (request.promptTokens() < 0 || request.answerTokens() < 0) {
-            mistakes.add(key + ".prompt_tokens/answer_tokens: allowed is 0 or more");
+            errors.add(key + ".prompt_tokens/answer_tokens: allowed is 0 or more");
         }
     }
 }
--- a/cli/src/main/java/org/streamring/cli/Report.java
+++ b/cli/src/main/java/org/streamring/cli/Report.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows for people as a table, or for programs as JSON. */
+/** A list of rows that is printed as a table or as JSON. */
 final class Report {
     private static final JsonMapper MAPPER = new JsonMapper();
 
     private final List<String> columns;
     private final List<List<String>> rows = new ArrayList<>();
-    private int maxCell = Integer.MAX_VALUE;
+    private int maxCellCharacters = Integer.MAX_VALUE;
 
     Report(String... columns) {
         this.columns = List.of(columns);
@@ -26,9 +26,9 @@
         return this;
     }
 
-    /** Shortens longer cells of the table; JSON keeps them whole. */
-    Report withCellsUpTo(int characters) {
-        maxCell = characters;
+    /** Limits the width of table cells. Longer cells are truncated in the table, but not in JSON. */
+    Report withMaxCellWidth(int characters) {
+        maxCellCharacters = characters;
         return this;
     }
 
@@ -47,22 +47,22 @@
         return array.toPrettyString();
     }
 
-    private String shortened(String cell) {
-        return cell.length() <= maxCell ? cell : cell.substring(0, maxCell - 1) + "…";
+    private String truncate(String cell) {
+        return cell.length() <= maxCellCharacters ? cell : cell.substring(0, maxCellCharacters - 1) + "…";
     }
 
     private String table() {
         int[] widths = new int[columns.size()];
-        List<List<String>> all = new ArrayList<>();
-        all.add(columns);
-        rows.forEach(row -> all.add(row.stream().map(this::shortened).toList()));
-        for (List<String> row : all) {
+        List<List<String>> allRows = new ArrayList<>();
+        allRows.add(columns);
+        rows.forEach(row -> allRows.add(row.stream().map(this::truncate).toList()));
+        for (List<String> row : allRows) {
             for (int i = 0; i < widths.length; i++) {
                 widths[i] = Math.max(widths[i], row.get(i).length());
             }
         }
         StringBuilder text = new StringBuilder();
-        for (List<String> row : all) {
+        for (List<String> row : allRows) {
             for (int i = 0; i < widths.length; i++) {
                 text.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length() + 2));
             }
--- a/cli/src/main/java/org/streamring/cli/ViewCommands.java
+++ b/cli/src/main/java/org/streamring/cli/ViewCommands.java
@@ -18,11 +18,11 @@
 import org.streamring.net.settings.SettingsException;
 import org.streamring.platform.BillArchive;
 
-/** Commands that show what is. */
+/** Commands that show the state of the fleet, the audit trail and the bills. */
 final class ViewCommands {
     private ViewCommands() {}
 
-    /** Shows entries and backend servers. */
+    /** Shows the configuration version, entries and backend servers. */
     @Command(name = "status", description = "Show the configuration version, entries and backend servers")
     public static final class Status extends OperatorCommand {
         @Override
@@ -38,11 +38,11 @@
                 }
                 for (BackendServer server : services.boxes().backendServers()) {
                     BackendOrder order = state.declarations().backends().get(server.name());
-                    String wanted = order == null ? "START" : order.state().name();
+                    String ordered = order == null ? "START" : order.state().name();
                     report.row(
                             "backend",
                             server.name(),
-                            (server.leaving() ? "leaving" : "live") + "/" + wanted,
+                            (server.leaving() ? "leaving" : "live") + "/" + ordered,
                             server.service(),
                             server.failureDomain() + " " + server.host() + ":" + server.port());
                 }
@@ -52,12 +52,12 @@
     }
 
     /** Shows the audit trail. */
-    @Command(name = "audit", description = "Show accepted changes: who, when, what")
+    @Command(name = "audit", description = "Show the applied changes with their time and author")
     public static final class Audit extends OperatorCommand {
-        /** Changes of many items would make a table too wide to read. */
-        private static final int MAX_CELL = 60;
+        /** Maximum width of a table cell in characters; changes of many items would make the table unreadably wide. */
+        private static final int MAX_CELL_CHARACTERS = 60;
 
-        @Option(name = "--after", description = "Only changes after this version")
+        @Option(name = "--after", description = "Show only changes after this version")
         private long after;
 
         @Override
@@ -78,15 +78,15 @@
                                     .map(grant -> grant.budget() + ":" + grant.tokens())
                                     .toList());
                 }
-                print(report.withCellsUpTo(MAX_CELL));
+                print(report.withMaxCellWidth(MAX_CELL_CHARACTERS));
             });
         }
     }
 
     /** Shows bills. */
-    @Command(name = "bills", description = "Show what was billed, an item per request, each once")
+    @Command(name = "bills", description = "Show the bills, one item per request")
     public static final class Bills extends OperatorCommand {
-        @Option(name = "--account", description = "Only this client account")
+        @Option(name = "--account", description = "Show only bills of this client account")
         private String account = "";
 
         @Option(name = "--sum", description = "Show sums per client account")
--- a/cli/src/main/java/org/streamring/cli/package-info.java
+++ b/cli/src/main/java/org/streamring/cli/package-info.java
@@ -1,4 +1,4 @@
-/** The operator's command line. */
+/** The command-line program for operators of a fleet. */
 @NullMarked
 package org.streamring.cli;
 
--- a/cli/src/test/java/org/streamring/cli/ReportTest.java
+++ b/cli/src/test/java/org/streamring/cli/ReportTest.java
@@ -6,16 +6,16 @@
 
 public class ReportTest {
     private final Report report =
-            new Report("version", "items").row("1 -> 2", "a".repeat(300)).withCellsUpTo(60);
+            new Report("version", "items").row("1 -> 2", "a".repeat(300)).withMaxCellWidth(60);
 
     @Test
-    public void longCellsAreShortenedInATable() {
+    public void longCellsAreTruncatedInATable() {
         assertThat(report.text(false).lines())
                 .allSatisfy(line -> assertThat(line).hasSizeLessThan(80));
     }
 
     @Test
-    public void longCellsAreWholeInJson() {
+    public void longCellsAreNotTruncatedInJson() {
         assertThat(report.text(true)).contains("a".repeat(300));
     }
 }
