--- a/policy-cel/src/main/java/org/streamring/policy/cel/CelPolicy.java
+++ b/policy-cel/src/main/java/org/streamring/policy/cel/CelPolicy.java
@@ -11,7 +11,7 @@
 import org.streamring.kernel.policy.PolicyException;
 import org.streamring.kernel.policy.PolicyInput;
 
-/** A compiled policy; an expression that was left out stands for the built-in behaviour. */
+/** A compiled policy. The built-in policy is used in place of an omitted expression. */
 final class CelPolicy implements CompiledPolicy {
     private static final BuiltInPolicy BUILT_IN = new BuiltInPolicy();
 
@@ -33,7 +33,7 @@
 
     @Override
     public boolean admits(PolicyInput input) throws PolicyException {
-        return admit.isEmpty() || (Boolean) evaluate("admit", admit.get(), requestValues(input));
+        return admit.isEmpty() || (Boolean) evaluate("admit", admit.get(), requestVariables(input));
     }
 
     @Override
@@ -41,7 +41,7 @@
         if (priority.isEmpty()) {
             return BUILT_IN.rank(input);
         }
-        long rank = (Long) evaluate("priority", priority.get(), requestValues(input));
+        long rank = (Long) evaluate("priority", priority.get(), requestVariables(input));
         return (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, rank));
     }
 
@@ -50,7 +50,7 @@
         if (score.isEmpty()) {
             return BUILT_IN.score(input, candidate);
         }
-        Map<String, Object> values = requestValues(input);
+        Map<String, Object> values = requestVariables(input);
         values.put(Variables.CANDIDATE, candidate.name());
         values.put(Variables.FAILURE_DOMAIN, candidate.failureDomain());
         values.put(Variables.SAME_DOMAIN, candidate.sameDomain());
@@ -58,16 +58,16 @@
         return (Double) evaluate("score", score.get(), values);
     }
 
-    private Object evaluate(String part, CelRuntime.Program program, Map<String, Object> values)
+    private Object evaluate(String expressionName, CelRuntime.Program program, Map<String, Object> values)
             throws PolicyException {
         try {
             return program.eval(values);
         } catch (CelEvaluationException e) {
-            throw new PolicyException(name + "." + part, String.valueOf(e.getMessage()));
+            throw new PolicyException(name + "." + expressionName, String.valueOf(e.getMessage()));
         }
     }
 
-    private static Map<String, Object> requestValues(PolicyInput input) {
+    private static Map<String, Object> requestVariables(PolicyInput input) {
         Map<String, Object> values = new HashMap<>();
         values.put(Variables.ACCOUNT, input.account());
         values.put(Variables.SERVICE, input.service());
--- a/policy-cel/src/main/java/org/streamring/policy/cel/CelPolicyCompiler.java
+++ b/policy-cel/src/main/java/org/streamring/policy/cel/CelPolicyCompiler.java
@@ -19,35 +19,36 @@
 import org.streamring.model.declaration.PolicyDeclaration;
 
 /**
- * Compiles policies written in CEL. The size of an expression is bounded, and macros that loop are left out except
- * {@code has}, so that the cost of an evaluation is bounded by the size.
+ * Compiles policies written in CEL. The length and depth of an expression are limited, and {@code has} is the only
+ * macro available, so that expressions cannot loop. The size of an expression thus bounds the cost of its evaluation.
  */
 public final class CelPolicyCompiler implements PolicyCompiler {
     private static final int MAX_EXPRESSION_LENGTH = 2_000;
-    private static final int MAX_DEPTH = 50;
+    private static final int MAX_PARSE_DEPTH = 50;
 
     private final CelCompiler requestCompiler;
     private final CelCompiler candidateCompiler;
     private final CelRuntime runtime;
 
-    /** Prepares the compilers. */
+    /** Creates the compilers for expressions on requests and on candidates. */
     public CelPolicyCompiler() {
-        requestCompiler = requestVariables(builder()).build();
-        candidateCompiler = candidateVariables(requestVariables(builder())).build();
+        requestCompiler = addRequestVariables(builder()).build();
+        candidateCompiler =
+                addCandidateVariables(addRequestVariables(builder())).build();
         runtime = CelRuntimeFactory.plannerRuntimeBuilder().build();
     }
 
     private static CelCompilerBuilder builder() {
         CelOptions options = CelOptions.current()
                 .maxExpressionCodePointSize(MAX_EXPRESSION_LENGTH)
-                .maxParseRecursionDepth(MAX_DEPTH)
+                .maxParseRecursionDepth(MAX_PARSE_DEPTH)
                 .build();
         return CelCompilerFactory.standardCelCompilerBuilder()
                 .setOptions(options)
                 .setStandardMacros(CelStandardMacro.HAS);
     }
 
-    private static CelCompilerBuilder requestVariables(CelCompilerBuilder builder) {
+    private static CelCompilerBuilder addRequestVariables(CelCompilerBuilder builder) {
         return builder.addVar(Variables.ACCOUNT, SimpleType.STRING)
                 .addVar(Variables.SERVICE, SimpleType.STRING)
                 .addVar(Variables.PRIORITY_CLASS, SimpleType.STRING)
@@ -58,7 +59,7 @@
                 .addVar(Variables.REPEATABLE, SimpleType.BOOL);
     }
 
-    private static CelCompilerBuilder candidateVariables(CelCompilerBuilder builder) {
+    private static CelCompilerBuilder addCandidateVariables(CelCompilerBuilder builder) {
         return builder.addVar(Variables.CANDIDATE, SimpleType.STRING)
                 .addVar(Variables.FAILURE_DOMAIN, SimpleType.STRING)
                 .addVar(Variables.SAME_DOMAIN, SimpleType.BOOL)
@@ -69,25 +70,25 @@
     public CompiledPolicy compile(String name, PolicyDeclaration policy) throws PolicyException {
         return new CelPolicy(
                 name,
-                program(requestCompiler, name + ".admit", policy.admit(), SimpleType.BOOL),
-                program(requestCompiler, name + ".priority", policy.priority(), SimpleType.INT),
-                program(candidateCompiler, name + ".score", policy.score(), SimpleType.DOUBLE));
+                compileExpression(requestCompiler, name + ".admit", policy.admit(), SimpleType.BOOL),
+                compileExpression(requestCompiler, name + ".priority", policy.priority(), SimpleType.INT),
+                compileExpression(candidateCompiler, name + ".score", policy.score(), SimpleType.DOUBLE));
     }
 
-    private Optional<CelRuntime.Program> program(CelCompiler compiler, String step, String text, CelType type)
-            throws PolicyException {
-        if (text.isEmpty()) {
+    private Optional<CelRuntime.Program> compileExpression(
+            CelCompiler compiler, String expressionName, String expression, CelType type) throws PolicyException {
+        if (expression.isEmpty()) {
             return Optional.empty();
         }
         try {
-            CelAbstractSyntaxTree tree = compiler.compile(text).getAst();
+            CelAbstractSyntaxTree tree = compiler.compile(expression).getAst();
             if (!tree.getResultType().equals(type)) {
                 throw new PolicyException(
-                        step, "gives " + tree.getResultType().name() + ", but must give " + type.name());
+                        expressionName, "gives " + tree.getResultType().name() + ", but must give " + type.name());
             }
             return Optional.of(runtime.createProgram(tree));
         } catch (CelValidationException | CelEvaluationException e) {
-            throw new PolicyException(step, String.valueOf(e.getMessage()));
+            throw new PolicyException(expressionName, String.valueOf(e.getMessage()));
         }
     }
 }
--- a/policy-cel/src/main/java/org/streamring/policy/cel/Variables.java
+++ b/policy-cel/src/main/java/org/streamring/policy/cel/Variables.java
@@ -1,6 +1,6 @@
 package org.streamring.policy.cel;
 
-/** Names that a policy may use. */
+/** Names of the variables that a policy expression may use. */
 final class Variables {
     static final String ACCOUNT = "account";
     static final String SERVICE = "service";
--- a/policy-cel/src/main/java/org/streamring/policy/cel/package-info.java
+++ b/policy-cel/src/main/java/org/streamring/policy/cel/package-info.java
@@ -1,4 +1,4 @@
-/** Policies in CEL, compiled and bounded before they come into force. */
+/** Compiler for policies written in the Common Expression Language (CEL), with bounded evaluation cost. */
 @NullMarked
 package org.streamring.policy.cel;
 
--- a/policy-cel/src/test/java/org/streamring/policy/cel/CelPolicyCompilerTest.java
+++ b/policy-cel/src/test/java/org/streamring/policy/cel/CelPolicyCompilerTest.java
@@ -18,7 +18,7 @@
     private final PolicyCompiler compiler = PolicyCompiler.load();
 
     @Test
-    public void expressionsDecide() throws PolicyException {
+    public void expressionsDetermineAdmissionRankAndScore() throws PolicyException {
         CompiledPolicy policy = compiler.compile(
                 "p",
                 new PolicyDeclaration(
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void whatIsLeftOutIsBuiltIn() throws PolicyException {
+    public void omittedExpressionsUseTheBuiltInPolicy() throws PolicyException {
         CompiledPolicy policy = compiler.compile("p", PolicyDeclaration.BUILT_IN);
         assertThat(policy.admits(INPUT)).isTrue();
         assertThat(policy.rank(INPUT)).isEqualTo(2);
@@ -39,7 +39,7 @@
     }
 
     @DataProvider
-    public Object[][] badPolicies() {
+    public Object[][] invalidPolicies() {
         return new Object[][] {
             {"account ==", "1:11"},
             {"colour == 'red'", "undeclared reference to 'colour'"},
@@ -49,8 +49,8 @@
         };
     }
 
-    @Test(dataProvider = "badPolicies")
-    public void aBadPolicyIsRejectedWithItsPlace(String admit, String problem) {
+    @Test(dataProvider = "invalidPolicies")
+    public void anInvalidPolicyIsRejectedWithItsNameAndError(String admit, String problem) {
         assertThatThrownBy(() -> compiler.compile("p", new PolicyDeclaration(admit, "", "")))
                 .isInstanceOf(PolicyException.class)
                 .hasMessageContaining("p.admit")
