--- a/integration/src/test/java/org/streamring/integration/WholePathTest.java
+++ b/integration/src/test/java/org/streamring/integration/EndToEndTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class WholePathTest {
+public class EndToEndTest {
     private Fleet fleet;
 
     @BeforeClass
--- a/sidecar/src/main/java/org/streamring/sidecar/backend/BackendCall.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/backend/BackendCall.java
@@ -48,7 +48,10 @@
         this.stream = new EventStreamReader(submit.getShowUsage());
     }
 
-    /** Cancels the call. The listener is notified of its end as usual, with the usage up to then. */
+    /**
+     * Cancels the call. The listener is notified of its end as usual, with the usage up to then. A call to a plain
+     * service is not interrupted.
+     */
     public void cancel() {
         if (cancelled) {
             return;
