--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -247,12 +247,12 @@
     @Override
     public void stopInOrder() {
         stopping = true;
-        LOGGER.info("entry_stopping open_requests={}", coordinator.open());
+        LOGGER.info("entry_stopping open_requests={}", coordinator.openRequests());
         callers.close();
-        coordinator.stopTaking();
+        coordinator.refuseNewCalls();
         long until = System.currentTimeMillis()
                 + settings.get(EntrySettings.STOP_WAIT).toMillis();
-        waitUntil(until, () -> coordinator.open() == 0 && links.openAttempts() == 0);
+        waitUntil(until, () -> coordinator.openRequests() == 0 && links.openAttempts() == 0);
         ledgers.current().drainAll();
         ledgerRunner.kick();
         // Also while the table does not answer: one lost answer must not leave leases to be closed by another entry.
@@ -261,7 +261,7 @@
         waitUntil(Math.min(until, settledUntil), () -> ledgers.current().isSettled());
         LOGGER.info(
                 "entry_stopped open_requests={} leases={}",
-                coordinator.open(),
+                coordinator.openRequests(),
                 ledgers.current().openLeases());
         close();
     }
--- a/entry/src/main/java/org/streamring/entry/request/AccountIndex.java
+++ b/entry/src/main/java/org/streamring/entry/request/AccountIndex.java
@@ -10,12 +10,12 @@
 import org.streamring.kernel.config.ConfigurationHolder.Configuration;
 import org.streamring.model.declaration.ServiceKind;
 
-/** Finds client accounts by key and services by model, for the configuration in force. */
+/** Index of client accounts by key and of services by model, for the configuration in force. */
 public final class AccountIndex {
     private volatile Map<String, String> accountByKeyHash = Map.of();
     private volatile Map<String, String> serviceByModel = Map.of();
 
-    /** Builds the index anew. */
+    /** Rebuilds the index from a configuration. */
     public void update(Configuration configuration) {
         Map<String, String> accounts = new HashMap<>();
         configuration.declarations().accounts().forEach((name, account) -> accounts.put(account.keySha256(), name));
@@ -29,19 +29,22 @@
         serviceByModel = Map.copyOf(services);
     }
 
-    /** Finds the account that a key belongs to. */
+    /** Returns the client account that a key belongs to; empty for an unknown key. */
     public Optional<String> accountOf(String key) {
         return key.isEmpty()
                 ? Optional.empty()
                 : Optional.ofNullable(accountByKeyHash.get(sha256(key.getBytes(StandardCharsets.UTF_8))));
     }
 
-    /** Finds the service that offers a model. */
+    /** Returns the service that offers a model; empty if none does. */
     public Optional<String> serviceOf(String model) {
         return Optional.ofNullable(serviceByModel.get(model));
     }
 
-    /** SHA-256 in lower-case hexadecimal. */
+    /**
+     * Returns the SHA-256 hash in lower-case hexadecimal. Several parts are each followed by a zero byte before
+     * hashing.
+     */
     public static String sha256(byte[]... parts) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -49,13 +52,13 @@
                 digest.update(part);
                 digest.update((byte) 0);
             }
-            return parts.length == 1 ? single(parts[0]) : HexFormat.of().formatHex(digest.digest());
+            return parts.length == 1 ? hashSingle(parts[0]) : HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("SHA-256 is part of every Java runtime", e);
+            throw new IllegalStateException("SHA-256 is not available in this Java runtime", e);
         }
     }
 
-    private static String single(byte[] bytes) throws NoSuchAlgorithmException {
+    private static String hashSingle(byte[] bytes) throws NoSuchAlgorithmException {
         return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     }
 }
--- a/entry/src/main/java/org/streamring/entry/request/AdmittedRequest.java
+++ b/entry/src/main/java/org/streamring/entry/request/AdmittedRequest.java
@@ -8,27 +8,27 @@
 import org.streamring.kernel.routing.PromptPrefix;
 
 /**
- * A request that may run, with everything decided about it.
+ * Request that may run, with everything decided about it on admission.
  *
- * @param requestId identifier told to the caller
+ * @param requestId identifier returned to the caller
  * @param requestKey identifier scoped to the client account
- * @param keyed whether the caller gave the identifier
+ * @param keyed whether the caller sent the identifier
  * @param call the call
  * @param account client account
- * @param input what the policy saw
- * @param policy policy in force when the request came
+ * @param input input to the policy
+ * @param policy policy in force when the request was admitted
  * @param rank priority rank
- * @param worstCase most tokens that it may spend
- * @param callTokens tokens charged if it is a call of a plain service
+ * @param worstCase most tokens that the request may spend
+ * @param callTokens tokens charged for a call of a plain service
  * @param model whether a model engine answers
- * @param stream whether a streamed answer is wanted
- * @param showUsage whether the caller wants usage in a streamed answer
- * @param claimed whether it needs a claim before it is forwarded
+ * @param stream whether the caller requested a streamed answer
+ * @param showUsage whether the caller requested usage in a streamed answer
+ * @param claimed whether the request needs a claim before it is forwarded
  * @param path path as forwarded
  * @param body body as forwarded
  * @param bodyHash hash of method, path and body as the caller sent them
- * @param prefix how its prompt begins
- * @param deadline time that it may take
+ * @param prefix prefix of the prompt, used for routing
+ * @param deadline time limit of the request
  */
 record AdmittedRequest(
         String requestId,
--- a/entry/src/main/java/org/streamring/entry/request/AnswerDelivery.java
+++ b/entry/src/main/java/org/streamring/entry/request/AnswerDelivery.java
@@ -8,62 +8,62 @@
 import org.streamring.net.generated.Wire.Chunk;
 
 /**
- * Passes the answer of one attempt on to the caller. A server error is held back until the attempt has ended, so that
- * another backend server may be tried instead. Guarded by its {@link RunningRequest}.
+ * Forwards the answer of one attempt to the caller. A server error is held back until the attempt has ended, so that
+ * another backend server can be tried instead. Guarded by the lock of its {@link RunningRequest}.
  */
 final class AnswerDelivery {
-    private static final int SERVER_ERROR = 500;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final AnswerSink sink;
-    private final List<Chunk> heldBack = new ArrayList<>();
+    private final List<Chunk> heldBackChunks = new ArrayList<>();
     private Optional<Begin> heldBackBegin = Optional.empty();
-    private boolean passedOn;
+    private boolean forwarded;
 
     AnswerDelivery(AnswerSink sink) {
         this.sink = sink;
     }
 
-    /** Whether the caller has not seen any part of an answer. */
-    boolean nothingPassedOn() {
-        return !passedOn;
+    /** Returns whether no part of an answer was forwarded to the caller. */
+    boolean nothingForwarded() {
+        return !forwarded;
     }
 
-    /** Whether the backend server answered with an error of its own. */
-    boolean holdsServerError() {
+    /** Returns whether the backend server answered with a server error, which is held back. */
+    boolean hasServerError() {
         return heldBackBegin.isPresent();
     }
 
     void begin(Begin begin) {
-        if (begin.getStatus() >= SERVER_ERROR) {
+        if (begin.getStatus() >= MIN_SERVER_ERROR_STATUS) {
             heldBackBegin = Optional.of(begin);
             return;
         }
-        passOn(begin);
+        forward(begin);
     }
 
-    private void passOn(Begin begin) {
-        passedOn = true;
+    private void forward(Begin begin) {
+        forwarded = true;
         sink.begin(begin.getStatus(), begin.getHeadersList());
     }
 
     void chunk(Chunk chunk) {
         if (heldBackBegin.isPresent()) {
-            heldBack.add(chunk);
+            heldBackChunks.add(chunk);
         } else {
             sink.chunk(chunk.getData());
         }
     }
 
-    /** Gives the caller what was held back, as no other try follows. */
+    /** Forwards what was held back, because no retry follows. */
     void release() {
-        heldBackBegin.ifPresent(this::passOn);
-        heldBack.forEach(chunk -> sink.chunk(chunk.getData()));
-        drop();
+        heldBackBegin.ifPresent(this::forward);
+        heldBackChunks.forEach(chunk -> sink.chunk(chunk.getData()));
+        discard();
     }
 
-    /** Forgets what was held back, as another try follows. */
-    void drop() {
+    /** Discards what was held back, because a retry follows. */
+    void discard() {
         heldBackBegin = Optional.empty();
-        heldBack.clear();
+        heldBackChunks.clear();
     }
 }
--- a/entry/src/main/java/org/streamring/entry/request/AttemptMessages.java
+++ b/entry/src/main/java/org/streamring/entry/request/AttemptMessages.java
@@ -5,15 +5,15 @@
 import org.streamring.net.generated.Wire.End;
 import org.streamring.net.generated.Wire.Submit;
 
-/** What is sent and billed for one attempt of an admitted request. */
+/** Creates the messages and bill items for the attempts of an admitted request. */
 final class AttemptMessages {
     private AttemptMessages() {}
 
     /**
-     * The order to a sidecar.
+     * Returns the message that submits an attempt to a sidecar.
      *
-     * @param sidecarIncarnation the one incarnation that may run it
-     * @param leftMillis time left until the request's deadline
+     * @param sidecarIncarnation the only incarnation that may run the attempt
+     * @param leftMillis time left until the request's deadline, in milliseconds
      */
     static Submit submit(AdmittedRequest request, Reservation reservation, String sidecarIncarnation, long leftMillis) {
         String entryIncarnation =
@@ -45,9 +45,10 @@
     }
 
     /**
-     * The bill item of an attempt that ended.
+     * Returns the bill item of an attempt that ended.
      *
-     * @param backend incarnation of the sidecar that ran it
+     * @param backend incarnation of the sidecar that ran the attempt
+     * @param epochMillis time of the bill item, in milliseconds since the epoch
      */
     static BillItem billItem(
             AdmittedRequest request, Reservation reservation, String backend, End end, long epochMillis) {
--- a/entry/src/main/java/org/streamring/entry/request/AttemptFunding.java
+++ b/entry/src/main/java/org/streamring/entry/request/AttemptReservation.java
@@ -10,26 +10,26 @@
 import org.streamring.net.generated.Wire.End;
 
 /**
- * The tokens set aside for the attempts of one request, and the ledger they come from. At most one reservation is held
- * at a time. Guarded by its {@link RunningRequest}.
+ * Tokens reserved for the attempts of one request, and the ledger that they are reserved in. At most one reservation is
+ * held at a time. Guarded by the lock of its {@link RunningRequest}.
  */
-final class AttemptFunding {
-    private static final AtomicLong ATTEMPTS = new AtomicLong();
+final class AttemptReservation {
+    private static final AtomicLong ATTEMPT_COUNTER = new AtomicLong();
 
     private final LedgerHolder ledgers;
     private @Nullable LeaseLedger ledger;
     private @Nullable Reservation reservation;
     private Optional<String> lostAt = Optional.empty();
 
-    AttemptFunding(LedgerHolder ledgers) {
+    AttemptReservation(LedgerHolder ledgers) {
         this.ledgers = ledgers;
     }
 
-    /** Sets the worst case of the next attempt aside; what costs nothing needs no lease. */
+    /** Reserves the most tokens that the next attempt may spend. A request that costs nothing needs no lease. */
     ReserveResult reserve(AdmittedRequest request, long nowMillis) {
         ledger = ledgers.current();
         lostAt = Optional.empty();
-        String attempt = ledger.incarnation() + "#" + ATTEMPTS.incrementAndGet();
+        String attempt = ledger.incarnation() + "#" + ATTEMPT_COUNTER.incrementAndGet();
         if (request.worstCase() == 0) {
             reservation = new Reservation(attempt, request.budget(), ledger.incarnation() + "/0", 0);
             return new ReserveResult.Reserved(reservation);
@@ -47,24 +47,27 @@
 
     Reservation reservation() {
         if (reservation == null) {
-            throw new IllegalStateException("nothing is reserved");
+            throw new IllegalStateException("no tokens are reserved");
         }
         return reservation;
     }
 
-    /** Identifier of the attempt that is paid for; empty if none is. */
+    /** Returns the identifier of the attempt that the reservation is held for; empty if nothing is reserved. */
     String attempt() {
         return reservation == null ? "" : reservation.attempt();
     }
 
-    /** Whether the ledger that pays names this sidecar, so that a closer would ask it for receipts. */
+    /**
+     * Returns whether the ledger lists this sidecar among its peers, so that an entry that closes its leases queries
+     * this sidecar for receipts.
+     */
     boolean mayUse(String sidecarIncarnation) {
         return requireLedger().mayUse(sidecarIncarnation);
     }
 
     /**
-     * Gives back what an attempt that did not run would have cost. If the same attempt was lost at a sidecar before,
-     * that sidecar may have spent it, so it is left in doubt instead.
+     * Releases the tokens of an attempt that did not run. If the same attempt was lost at a sidecar before, that
+     * sidecar may have spent the tokens, so the reservation is marked as uncertain instead.
      */
     void release() {
         if (reservation == null) {
@@ -78,13 +81,13 @@
         reservation = null;
     }
 
-    /** Notes that the attempt was lost at a sidecar and is tried elsewhere under the same reservation. */
-    void lostAt(String sidecarIncarnation) {
+    /** Records that the attempt was lost at a sidecar and is retried elsewhere under the same reservation. */
+    void recordLostAt(String sidecarIncarnation) {
         lostAt = Optional.of(sidecarIncarnation);
     }
 
-    /** Books what an attempt spent. */
-    void book(AdmittedRequest request, End end, String sidecarIncarnation, long nowMillis) {
+    /** Records the usage of an attempt that ended: bills it, or releases the tokens if nothing is billed. */
+    void recordUsage(AdmittedRequest request, End end, String sidecarIncarnation, long nowMillis) {
         if (reservation == null) {
             return;
         }
@@ -100,21 +103,21 @@
         }
     }
 
-    /** Leaves what was set aside as it is until the sidecar has told what became of the attempt. */
-    void leaveInDoubt(String sidecarIncarnation) {
+    /** Keeps the reservation until the sidecar has reported the result of the attempt. */
+    void markReservationUncertain(String sidecarIncarnation) {
         if (reservation != null) {
             requireLedger().markUncertain(reservation, sidecarIncarnation);
         }
     }
 
-    /** A sidecar has told that the ledger's incarnation was closed. */
-    void giveUpLedger() {
+    /** Gives up the ledger, after a sidecar has reported that the ledger's incarnation was closed. */
+    void abandonLedger() {
         requireLedger().giveUp();
     }
 
     private LeaseLedger requireLedger() {
         if (ledger == null) {
-            throw new IllegalStateException("nothing is reserved yet");
+            throw new IllegalStateException("no reservation was made yet");
         }
         return ledger;
     }
--- a/entry/src/main/java/org/streamring/entry/request/CountedSink.java
+++ b/entry/src/main/java/org/streamring/entry/request/CountingAnswerSink.java
@@ -10,17 +10,17 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.net.generated.Wire.Header;
 
-/** Counts final answers by outcome and reason. */
-final class CountedSink implements AnswerSink {
+/** Answer sink that counts final answers by outcome and reason and passes each call on to another sink. */
+final class CountingAnswerSink implements AnswerSink {
     private final AnswerSink sink;
     private final MeterRegistry metrics;
-    private final Runnable onFinal;
-    private final AtomicBoolean done = new AtomicBoolean();
+    private final Runnable onFinalAnswer;
+    private final AtomicBoolean finalAnswerGiven = new AtomicBoolean();
 
-    CountedSink(AnswerSink sink, MeterRegistry metrics, Runnable onFinal) {
+    CountingAnswerSink(AnswerSink sink, MeterRegistry metrics, Runnable onFinalAnswer) {
         this.sink = sink;
         this.metrics = metrics;
-        this.onFinal = onFinal;
+        this.onFinalAnswer = onFinalAnswer;
     }
 
     @Override
@@ -52,7 +52,7 @@
     }
 
     private void count(Outcome outcome, String reason) {
-        if (!done.compareAndSet(false, true)) {
+        if (!finalAnswerGiven.compareAndSet(false, true)) {
             return;
         }
         Counter.builder("streamring.requests")
@@ -61,6 +61,6 @@
                 .tag("reason", reason)
                 .register(metrics)
                 .increment();
-        onFinal.run();
+        onFinalAnswer.run();
     }
 }
--- a/entry/src/main/java/org/streamring/entry/request/RequestAdmitter.java
+++ b/entry/src/main/java/org/streamring/entry/request/RequestAdmitter.java
@@ -20,28 +20,39 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.model.request.RefusalReason;
 
-/** Decides whether a call may run, and bounds it. Every request is decided by one version of the configuration. */
+/**
+ * Decides whether a call may run and determines the most tokens that it may spend. Each request is decided by a single
+ * version of the configuration.
+ */
 public final class RequestAdmitter {
     private static final Set<String> MODEL_PATHS = Set.of("/v1/chat/completions", "/v1/completions");
-    private static final String SERVICES = "/services/";
+    private static final String SERVICE_PATH_PREFIX = "/services/";
     private static final Duration DEFAULT_DEADLINE = Duration.ofMinutes(10);
 
     private final AccountIndex index;
     private final PolicyBook policies;
 
-    /** Creates one. */
+    /** Creates an admitter. */
     public RequestAdmitter(AccountIndex index, PolicyBook policies) {
         this.index = index;
         this.policies = policies;
     }
 
-    /** The client account that a call's key belongs to. */
+    /**
+     * Returns the client account that the call's key belongs to.
+     *
+     * @throws RefusedException if the key belongs to no client account
+     */
     String authenticate(Call call) throws RefusedException {
         return index.accountOf(call.accountKey())
                 .orElseThrow(() -> refused(RefusalReason.UNKNOWN_KEY, "the key belongs to no client account"));
     }
 
-    /** Decides. */
+    /**
+     * Admits a call of an authenticated client account.
+     *
+     * @throws RefusedException if the call is not valid or not allowed
+     */
     AdmittedRequest admit(String requestId, String account, Call call) throws RefusedException {
         PolicyBook.Snapshot snapshot = policies.current();
         Declarations declarations = snapshot.declarations();
@@ -53,17 +64,19 @@
         if (MODEL_PATHS.contains(path)) {
             return admitModel(requestId, account, declared, call, snapshot);
         }
-        if (path.startsWith(SERVICES)) {
+        if (path.startsWith(SERVICE_PATH_PREFIX)) {
             return admitPlain(requestId, account, declared, call, snapshot);
         }
-        throw refused(RefusalReason.UNKNOWN_SERVICE, "known are " + MODEL_PATHS + " and " + SERVICES + "{service}/");
+        throw refused(
+                RefusalReason.UNKNOWN_SERVICE,
+                "supported paths are " + MODEL_PATHS + " and " + SERVICE_PATH_PREFIX + "{service}/");
     }
 
     private AdmittedRequest admitModel(
             String requestId, String account, AccountDeclaration declared, Call call, PolicyBook.Snapshot snapshot)
             throws RefusedException {
         if (!call.method().equals("POST")) {
-            throw refused(RefusalReason.BAD_REQUEST, "models are asked with POST");
+            throw refused(RefusalReason.BAD_REQUEST, "calls of a model must use POST");
         }
         ModelCall model = ModelCall.parse(call.body().toByteArray());
         String name = index.serviceOf(model.model())
@@ -74,7 +87,7 @@
         PolicyInput input = PolicyInput.of(
                 account, declared, name, snapshot.declarations().classes(), prompt, answer, !call.notRepeatable());
         CompiledPolicy policy = snapshot.policy(service.policy());
-        int rank = decide(policy, input);
+        int rank = rankOf(policy, input);
         return new AdmittedRequest(
                 requestId,
                 requestKey(account, call, requestId),
@@ -100,13 +113,13 @@
     private AdmittedRequest admitPlain(
             String requestId, String account, AccountDeclaration declared, Call call, PolicyBook.Snapshot snapshot)
             throws RefusedException {
-        String rest = call.path().substring(SERVICES.length());
-        int slash = rest.indexOf('/');
-        String name = slash < 0 ? rest : rest.substring(0, slash);
-        String path = slash < 0 ? "/" : rest.substring(slash);
+        String servicePath = call.path().substring(SERVICE_PATH_PREFIX.length());
+        int slash = servicePath.indexOf('/');
+        String name = slash < 0 ? servicePath : servicePath.substring(0, slash);
+        String path = slash < 0 ? "/" : servicePath.substring(slash);
         ServiceDeclaration service = allowedService(name, declared, snapshot.declarations());
         if (service.kind() != ServiceKind.PLAIN) {
-            throw refused(RefusalReason.UNKNOWN_SERVICE, name + " is a model service; ask it by its model");
+            throw refused(RefusalReason.UNKNOWN_SERVICE, name + " is a model service; call it by its model name");
         }
         boolean repeatable = !call.notRepeatable() && !service.marksNotRepeatable(call.method(), path);
         PolicyInput input = PolicyInput.of(
@@ -120,7 +133,7 @@
                 account,
                 input,
                 policy,
-                decide(policy, input),
+                rankOf(policy, input),
                 service.callTokens(),
                 service.callTokens(),
                 false,
@@ -143,11 +156,13 @@
         return service;
     }
 
-    private static int decide(CompiledPolicy policy, PolicyInput input) throws RefusedException {
+    private static int rankOf(CompiledPolicy policy, PolicyInput input) throws RefusedException {
         try {
             PolicyDecision decision = PolicyDecision.of(policy, input);
             if (!decision.admitted()) {
-                throw refused(RefusalReason.NOT_ALLOWED, "the policy of service " + input.service() + " refuses this");
+                throw refused(
+                        RefusalReason.NOT_ALLOWED,
+                        "the policy of service " + input.service() + " does not admit this request");
             }
             return decision.rank();
         } catch (PolicyException e) {
@@ -159,7 +174,10 @@
         return account + "/" + call.idempotencyKey().orElse("~" + requestId);
     }
 
-    /** Without an identifier from the caller nobody else can bring the same request, so no claim is needed. */
+    /**
+     * Returns whether the request must be claimed before it is forwarded. Without an identifier from the caller no
+     * other entry can receive the same request, so no claim is needed.
+     */
     private static boolean needsClaim(Call call, ServiceDeclaration service, boolean repeatable) {
         return call.idempotencyKey().isPresent() && (!repeatable || service.claimKeyed());
     }
--- a/entry/src/main/java/org/streamring/entry/request/RequestCoordinator.java
+++ b/entry/src/main/java/org/streamring/entry/request/RequestCoordinator.java
@@ -11,7 +11,7 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.model.request.RefusalReason;
 
-/** Takes calls, admits them on worker threads and hands them to {@link RunningRequest}. */
+/** Receives calls, admits them on worker threads and passes them to {@link RunningRequest}. */
 public final class RequestCoordinator implements CallReceiver {
     private final RequestAdmitter admitter;
     private final PolicyBook policies;
@@ -19,20 +19,20 @@
     private final AtomicInteger open = new AtomicInteger();
     private volatile boolean stopping;
 
-    /** Creates one. */
+    /** Creates a coordinator that accepts calls. */
     public RequestCoordinator(RequestAdmitter admitter, PolicyBook policies, RequestServices services) {
         this.admitter = admitter;
         this.policies = policies;
         this.services = services;
     }
 
-    /** Requests without a final answer. */
-    public int open() {
+    /** Returns the number of requests without a final answer. */
+    public int openRequests() {
         return open.get();
     }
 
-    /** Refuses new calls from now on. */
-    public void stopTaking() {
+    /** Refuses all calls received from now on. */
+    public void refuseNewCalls() {
         stopping = true;
     }
 
@@ -40,7 +40,7 @@
     public Runnable receive(String requestId, Call call, AnswerSink sink) {
         open.incrementAndGet();
         RunningRequest request =
-                new RunningRequest(services, new CountedSink(sink, services.metrics(), open::decrementAndGet));
+                new RunningRequest(services, new CountingAnswerSink(sink, services.metrics(), open::decrementAndGet));
         if (stopping) {
             request.refuse(Refusal.of(RefusalReason.ENTRY_STOPPING, "this entry is stopping; ask again"));
             return request::callerGone;
--- a/entry/src/main/java/org/streamring/entry/request/RequestServices.java
+++ b/entry/src/main/java/org/streamring/entry/request/RequestServices.java
@@ -15,22 +15,22 @@
 import org.streamring.kernel.routing.ReplicaTable;
 
 /**
- * What every request needs.
+ * Shared components that every request uses.
  *
  * @param loops event loops, for timers
- * @param workers worker threads, for decisions
- * @param ledgers leases
- * @param ledgerRunner applies ledger plans
+ * @param workers worker threads that admit and route requests
+ * @param ledgers holder of the current lease ledger
+ * @param ledgerRunner applies ledger plans to the table
  * @param waiters requests that wait for a lease
  * @param claims commits claims
  * @param links connections to sidecars
- * @param replicas what is known of backend servers
- * @param selector chooses among them
- * @param retries allows retries
+ * @param replicas state of the backend servers
+ * @param selector chooses among backend servers
+ * @param retries limits the rate of retries
  * @param limiter limits per client account
- * @param metrics counters
+ * @param metrics registry for the counters
  * @param leaseWait longest wait for a lease
- * @param failureDomain the entry's failure domain
+ * @param failureDomain failure domain of this entry
  */
 public record RequestServices(
         EventLoopGroup loops,
--- a/entry/src/main/java/org/streamring/entry/request/RouteFinder.java
+++ b/entry/src/main/java/org/streamring/entry/request/RouteFinder.java
@@ -12,30 +12,33 @@
 import org.streamring.kernel.routing.ReplicaSelector;
 import org.streamring.kernel.routing.RouteQuery;
 
-/** Finds backend servers for the tries of one request. Guarded by its {@link RunningRequest}. */
+/** Chooses backend servers for the attempts of one request. Guarded by the lock of its {@link RunningRequest}. */
 final class RouteFinder {
-    private static final int MAX_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final RequestServices services;
     private final Set<String> triedServers = new HashSet<>();
     private final Set<String> triedDomains = new HashSet<>();
-    private int tries;
+    private int attempts;
 
     RouteFinder(RequestServices services) {
         this.services = services;
     }
 
     /**
-     * Chooses a server for the next try.
+     * Chooses a backend server for the next attempt.
      *
-     * @param mayUse which sidecar incarnations may be given work
+     * @param mayUse tests whether a sidecar incarnation may be given the request
      */
     Optional<Candidate> choose(AdmittedRequest request, Predicate<String> mayUse, long nowMillis) {
         return services.selector()
                 .choose(candidates(request, mayUse, nowMillis), query(request), candidate -> score(request, candidate));
     }
 
-    /** Whether a server that was not tried is believed to have room for the request. */
+    /**
+     * Returns whether a server that was not tried has free capacity for the request, according to its last reported
+     * state.
+     */
     boolean hasRoomElsewhere(AdmittedRequest request, Predicate<String> mayUse, long nowMillis) {
         return ReplicaSelector.hasRoomElsewhere(candidates(request, mayUse, nowMillis), query(request));
     }
@@ -66,26 +69,26 @@
         }
     }
 
-    /** The server that a claim names, if its sidecar still is the incarnation named. */
+    /** Returns the server that a claim names, if its sidecar is connected under the incarnation in the claim. */
     Optional<Candidate> namedBy(ClaimRecord claim) {
-        boolean there = services.links()
+        boolean connected = services.links()
                 .incarnationOf(claim.sidecar())
                 .filter(claim.sidecarIncarnation()::equals)
                 .isPresent();
         return services.replicas().listed().stream()
-                .filter(server -> there && server.name().equals(claim.sidecar()))
+                .filter(server -> connected && server.name().equals(claim.sidecar()))
                 .map(server -> new Candidate(server, claim.sidecarIncarnation(), 0, 1, 1))
                 .findFirst();
     }
 
-    /** Notes a try; its failure domain is avoided from now on, if another one is left. */
-    void tried(Candidate candidate) {
-        tries++;
+    /** Records an attempt. Later attempts avoid its failure domain if another one is available. */
+    void recordAttempt(Candidate candidate) {
+        attempts++;
         triedServers.add(candidate.server().name());
         triedDomains.add(candidate.server().failureDomain());
     }
 
-    boolean mayTryAgain() {
-        return tries < MAX_TRIES;
+    boolean attemptsLeft() {
+        return attempts < MAX_ATTEMPTS;
     }
 }
--- a/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
+++ b/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
@@ -27,15 +27,16 @@
 import org.streamring.net.generated.Wire.Submit;
 
 /**
- * One request on its way: reserve, choose, claim if need be, submit, pass on the answer, book what was spent.
+ * State machine of one request: reserves tokens, chooses a backend server, commits a claim if one is needed, submits
+ * the attempt, forwards the answer and records the usage.
  *
- * <p>Guarded by its own lock, which comes before the leaf locks of the tables it uses and is never taken while one of
- * them is held.
+ * <p>Guarded by its own lock. This lock is acquired before the locks of the tables that the request uses, and never
+ * while one of those is held.
  */
 final class RunningRequest implements AttemptListener {
     private static final Set<RefusalReason> FINAL_REASONS =
             Set.of(RefusalReason.KEY_REUSED, RefusalReason.DEADLINE, RefusalReason.FENCED);
-    private static final Duration BUSY_RETRY = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final RequestServices services;
     private final AnswerSink sink;
@@ -43,13 +44,13 @@
     private final List<Runnable> onDone = new ArrayList<>();
     private final RouteFinder routes;
     private @Nullable AdmittedRequest request;
-    private final AttemptFunding funding;
+    private final AttemptReservation attemptReservation;
     private @Nullable Candidate target;
     private @Nullable ScheduledFuture<?> deadlineTimer;
     private long claimVersion;
     private long startedMillis;
     private boolean submitted;
-    private boolean earlierTryMayHaveRun;
+    private boolean earlierAttemptMayHaveRun;
     private boolean done;
     private boolean callerGone;
 
@@ -57,7 +58,7 @@
         this.services = services;
         this.sink = sink;
         this.delivery = new AnswerDelivery(sink);
-        this.funding = new AttemptFunding(services.ledgers());
+        this.attemptReservation = new AttemptReservation(services.ledgers());
         this.routes = new RouteFinder(services);
     }
 
@@ -65,24 +66,27 @@
         onDone.add(action);
     }
 
-    /** Gives the final answer that the request was not run, if no earlier try may have run. */
+    /**
+     * Gives the final answer that the request was not run, or that the outcome is unknown if an earlier attempt may
+     * have run.
+     */
     synchronized void refuse(Refusal refusal) {
-        if (earlierTryMayHaveRun) {
-            fail(Outcome.UNKNOWN, refusal.message() + "; an earlier try broke off and may have run");
+        if (earlierAttemptMayHaveRun) {
+            fail(Outcome.UNKNOWN, refusal.message() + "; an earlier attempt was interrupted and may have run");
             return;
         }
-        if (finishAnswer()) {
+        if (markDone()) {
             sink.refuse(refusal);
         }
     }
 
     private void fail(Outcome outcome, String message) {
-        if (finishAnswer()) {
+        if (markDone()) {
             sink.fail(outcome, message);
         }
     }
 
-    private boolean finishAnswer() {
+    private boolean markDone() {
         if (done) {
             return false;
         }
@@ -112,9 +116,11 @@
         if (reserve(services.ledgerRunner().storeAway())) {
             return;
         }
-        services.waiters().add(this::reserveAgain);
+        services.waiters().add(this::retryReservation);
         services.ledgerRunner().kick();
-        services.loops().next().schedule(this::stopWaiting, services.leaseWait().toMillis(), TimeUnit.MILLISECONDS);
+        services.loops()
+                .next()
+                .schedule(this::leaseWaitExpired, services.leaseWait().toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private AdmittedRequest request() {
@@ -124,20 +130,20 @@
         return request;
     }
 
-    private synchronized boolean reserveAgain(boolean storeAway) {
-        return done || funding.isHeld() || reserve(storeAway);
+    private synchronized boolean retryReservation(boolean storeAway) {
+        return done || attemptReservation.isHeld() || reserve(storeAway);
     }
 
-    private synchronized void stopWaiting() {
-        if (!done && !funding.isHeld()) {
-            refuse(Refusal.of(RefusalReason.LEASE_UNAVAILABLE, "no part of the budget could be leased in time"));
+    private synchronized void leaseWaitExpired() {
+        if (!done && !attemptReservation.isHeld()) {
+            refuse(Refusal.of(RefusalReason.LEASE_UNAVAILABLE, "no lease on the budget was obtained in time"));
         }
     }
 
-    /** Returns false if the request must wait for a lease. */
+    /** Tries to reserve tokens; returns false if the request must wait for a lease. */
     private boolean reserve(boolean storeAway) {
         AdmittedRequest admitted = request();
-        ReserveResult result = funding.reserve(admitted, now());
+        ReserveResult result = attemptReservation.reserve(admitted, now());
         if (result instanceof ReserveResult.Reserved) {
             continueOnWorker();
             return true;
@@ -150,7 +156,8 @@
             return true;
         }
         if (storeAway) {
-            refuse(Refusal.of(RefusalReason.LEASE_UNAVAILABLE, "the budget can't be leased from at the moment"));
+            refuse(Refusal.of(
+                    RefusalReason.LEASE_UNAVAILABLE, "no lease can be obtained because the store is unreachable"));
             return true;
         }
         return false;
@@ -160,23 +167,24 @@
         try {
             services.workers().execute(this::route);
         } catch (RejectedExecutionException e) {
-            funding.release();
+            attemptReservation.release();
             refuse(Refusal.of(RefusalReason.OVERLOAD, "this entry is overloaded"));
         }
     }
 
     private synchronized void route() {
         if (done) {
-            funding.release();
+            attemptReservation.release();
             return;
         }
         AdmittedRequest admitted = request();
-        Optional<Candidate> chosen = routes.choose(admitted, funding::mayUse, now());
-        if (chosen.isEmpty() && followStandingClaim()) {
+        Optional<Candidate> chosen = routes.choose(admitted, attemptReservation::mayUse, now());
+        if (chosen.isEmpty() && followExistingClaim()) {
             return;
         }
         if (chosen.isEmpty()) {
-            refuseUnrouted(RefusalReason.NO_BACKEND, "no backend server of the service takes work now");
+            releaseAndRefuse(
+                    RefusalReason.NO_BACKEND, "no backend server of the service accepts requests at the moment");
             return;
         }
         if (admitted.claimed()) {
@@ -189,31 +197,30 @@
     private void claim(Candidate candidate) {
         AdmittedRequest admitted = request();
         ClaimRecord record = new ClaimRecord(
-                candidate.server().name(), candidate.incarnation(), admitted.bodyHash(), funding.attempt());
+                candidate.server().name(), candidate.incarnation(), admitted.bodyHash(), attemptReservation.attempt());
         Claim claim = new Claim(admitted.requestKey(), claimVersion, record, now());
         services.claims().commit(claim).whenComplete((result, problem) -> services.workers()
-                .execute(() -> claimed(candidate, result)));
+                .execute(() -> claimCompleted(candidate, result)));
     }
 
-    private synchronized void claimed(Candidate candidate, @Nullable ClaimResult result) {
+    private synchronized void claimCompleted(Candidate candidate, @Nullable ClaimResult result) {
         if (done) {
-            funding.release();
+            attemptReservation.release();
         } else if (result instanceof ClaimResult.Granted granted) {
             claimVersion = granted.row().version();
             submit(candidate);
         } else if (result instanceof ClaimResult.Bound bound) {
             followClaim(bound);
         } else {
-            refuseUnrouted(RefusalReason.STORE_UNAVAILABLE, "the request could not be claimed, so it was not run");
+            releaseAndRefuse(RefusalReason.STORE_UNAVAILABLE, "the request could not be claimed, so it was not run");
         }
     }
 
     /**
-     * A request that runs at most once and can't be routed now may have run in an earlier try. It is told as not run
-     * only
-     * if no claim stands on it.
+     * Follows an existing claim of a request that runs at most once and can't be routed. Such a request may have run in
+     * an earlier attempt; it is reported as not run only if no claim exists for it.
      */
-    private boolean followStandingClaim() {
+    private boolean followExistingClaim() {
         if (!request().claimed() || claimVersion != 0) {
             return false;
         }
@@ -223,52 +230,58 @@
             standing.ifPresent(this::followClaim);
             return standing.isPresent();
         } catch (PlatformException e) {
-            refuseUnrouted(RefusalReason.STORE_UNAVAILABLE, "the request can't be claimed, so this try was not run");
+            releaseAndRefuse(
+                    RefusalReason.STORE_UNAVAILABLE, "the request can't be claimed, so this attempt was not run");
             return true;
         }
     }
 
-    /** Another try of the same request was claimed for a sidecar: only that one may run it or has its answer. */
+    /**
+     * Follows the claim of another attempt of the same request: only the sidecar named in the claim may run the request
+     * or has its answer.
+     */
     private void followClaim(ClaimResult.Bound bound) {
         ClaimRecord record = bound.record();
         if (!record.bodyHash().equals(request().bodyHash())) {
-            refuseUnrouted(RefusalReason.KEY_REUSED, "the identifier was used for another request");
+            releaseAndRefuse(RefusalReason.KEY_REUSED, "the identifier was already used for a different request");
             return;
         }
         claimVersion = bound.row().version();
-        Optional<Candidate> named = routes.namedBy(record).filter(server -> funding.mayUse(server.incarnation()));
+        Optional<Candidate> named =
+                routes.namedBy(record).filter(server -> attemptReservation.mayUse(server.incarnation()));
         if (named.isPresent()) {
             submit(named.get());
             return;
         }
-        funding.release();
-        fail(Outcome.UNKNOWN, "an earlier try may have run on a backend server that can't be asked now");
+        attemptReservation.release();
+        fail(Outcome.UNKNOWN, "an earlier attempt may have run on a backend server that is unreachable at the moment");
     }
 
     private void submit(Candidate candidate) {
-        if (!funding.isHeld()) {
+        if (!attemptReservation.isHeld()) {
             return;
         }
         target = candidate;
-        routes.tried(candidate);
+        routes.recordAttempt(candidate);
         long leftMillis = request().deadline().toMillis() - (now() - startedMillis);
-        Submit frame = AttemptMessages.submit(request(), funding.reservation(), candidate.incarnation(), leftMillis);
+        Submit frame = AttemptMessages.submit(
+                request(), attemptReservation.reservation(), candidate.incarnation(), leftMillis);
         submitted = services.links().submit(candidate.server().name(), frame, this);
         if (!submitted) {
             retryOrRefuse(RefusalReason.NO_BACKEND);
         }
     }
 
-    /** Only for a request that is known not to run where it was last sent. */
+    /** Retries or refuses the request. Called only if the request certainly does not run where it was last sent. */
     private void retryOrRefuse(RefusalReason reason) {
         submitted = false;
         if (reason == RefusalReason.FENCED) {
-            funding.giveUpLedger();
+            attemptReservation.abandonLedger();
             services.ledgerRunner().kick();
         }
-        boolean retry = !done && !FINAL_REASONS.contains(reason) && routes.mayTryAgain() && mayRetryAfter(reason);
+        boolean retry = !done && !FINAL_REASONS.contains(reason) && routes.attemptsLeft() && mayRetryAfter(reason);
         if (!retry) {
-            refuseUnrouted(reason, "the backend servers that were tried did not take the request");
+            releaseAndRefuse(reason, "the backend servers that were tried did not accept the request");
             return;
         }
         services.metrics().counter("streamring.retries").increment();
@@ -276,18 +289,19 @@
     }
 
     /**
-     * A refusal for lack of room cost no work, so another server may be asked if one is believed to have room, and
-     * never otherwise: under overload that would only multiply messages. Other retries need leave.
+     * Returns whether a retry is allowed after a refusal. A refusal for lack of capacity cost no work, so another
+     * server is tried if one has free capacity according to its last reported state, and otherwise never, because under
+     * overload a retry would only multiply messages. All other retries count against the retry budget.
      */
     private boolean mayRetryAfter(RefusalReason reason) {
         return reason == RefusalReason.OVERLOAD
-                ? routes.hasRoomElsewhere(request(), funding::mayUse, now())
+                ? routes.hasRoomElsewhere(request(), attemptReservation::mayUse, now())
                 : services.retries().tryRetry();
     }
 
-    private void refuseUnrouted(RefusalReason reason, String message) {
-        funding.release();
-        refuse(new Refusal(reason, message, BUSY_RETRY));
+    private void releaseAndRefuse(RefusalReason reason, String message) {
+        attemptReservation.release();
+        refuse(new Refusal(reason, message, RETRY_AFTER));
     }
 
     @Override
@@ -306,54 +320,54 @@
 
     @Override
     public synchronized void ended(End end) {
-        boolean failed = !end.getComplete() || delivery.holdsServerError();
-        if (failed && end.getTokens() == 0 && mayTryElsewhere()) {
-            funding.release();
-            delivery.drop();
-            noteRetryOfWhatMayHaveRun();
+        boolean failed = !end.getComplete() || delivery.hasServerError();
+        if (failed && end.getTokens() == 0 && mayRetryElsewhere()) {
+            attemptReservation.release();
+            delivery.discard();
+            recordRetryAfterPossibleRun();
             reserveOrWait();
             return;
         }
-        funding.book(request(), end, target == null ? "" : target.incarnation(), now());
+        attemptReservation.recordUsage(request(), end, target == null ? "" : target.incarnation(), now());
         if (!done) {
             delivery.release();
         }
         if (end.getComplete()) {
-            if (finishAnswer()) {
+            if (markDone()) {
                 sink.complete();
             }
         } else {
-            fail(Outcome.UNKNOWN, "the answer is not whole: " + end.getProblem());
+            fail(Outcome.UNKNOWN, "the answer is incomplete: " + end.getProblem());
         }
     }
 
     /**
-     * Whether a request that may have run can be tried on another backend server: a second run does no harm, nobody has
-     * seen any part of an answer, and no sidecar keeps an answer under the caller's identifier.
+     * Returns whether a request that may have run can be retried on another backend server: a second run does no harm,
+     * no part of an answer was forwarded, and no sidecar keeps an answer under the caller's identifier.
      */
-    private boolean mayTryElsewhere() {
-        return mayRunTwice() && !request().keyed() && services.retries().tryRetry();
+    private boolean mayRetryElsewhere() {
+        return isSafeToRunAgain() && !request().keyed() && services.retries().tryRetry();
     }
 
-    private boolean mayRunTwice() {
+    private boolean isSafeToRunAgain() {
         return !done
-                && delivery.nothingPassedOn()
+                && delivery.nothingForwarded()
                 && request().repeatable()
                 && !request().claimed()
-                && routes.mayTryAgain();
+                && routes.attemptsLeft();
     }
 
-    private void noteRetryOfWhatMayHaveRun() {
+    private void recordRetryAfterPossibleRun() {
         submitted = false;
-        earlierTryMayHaveRun = true;
+        earlierAttemptMayHaveRun = true;
         services.metrics().counter("streamring.retries").increment();
     }
 
     @Override
     public synchronized void refused(Refused refused) {
         if (refused.getRanBefore()) {
-            funding.release();
-            fail(Outcome.UNKNOWN, "the request ran before, and its answer is no longer kept");
+            attemptReservation.release();
+            fail(Outcome.UNKNOWN, "the request ran before, and its answer is no longer stored");
             return;
         }
         RefusalReason reason;
@@ -366,24 +380,23 @@
     }
 
     /**
-     * The connection to the sidecar is gone, and the attempt may have run. What was set aside stays so until the
-     * sidecar
-     * has told. A repeatable request of which nothing was delivered is tried elsewhere; its first attempt is then not
-     * billed, because the request is billed once.
+     * Handles the loss of the connection to the sidecar; the attempt may have run. The tokens stay reserved until the
+     * sidecar has reported the result. A repeatable request is retried elsewhere if no part of its answer was
+     * forwarded; its first attempt is then not billed, because each request is billed once.
      */
     @Override
     public synchronized void lost() {
-        if (mayRunTwice() && services.retries().tryRetry()) {
-            delivery.drop();
+        if (isSafeToRunAgain() && services.retries().tryRetry()) {
+            delivery.discard();
             if (target != null) {
-                funding.lostAt(target.incarnation());
+                attemptReservation.recordLostAt(target.incarnation());
             }
-            noteRetryOfWhatMayHaveRun();
+            recordRetryAfterPossibleRun();
             continueOnWorker();
             return;
         }
         if (target != null) {
-            funding.leaveInDoubt(target.incarnation());
+            attemptReservation.markReservationUncertain(target.incarnation());
         }
         fail(Outcome.UNKNOWN, "the connection to the backend server was lost");
     }
@@ -393,7 +406,7 @@
             return;
         }
         if (!submitted) {
-            funding.release();
+            attemptReservation.release();
             refuse(Refusal.of(RefusalReason.DEADLINE, "the deadline passed before the request could run"));
             return;
         }
@@ -402,7 +415,8 @@
     }
 
     /**
-     * The caller has gone away. Without an identifier nobody can ask for the answer again, so the work is cancelled.
+     * Handles the loss of the caller's connection. If the caller sent no identifier, the answer can't be requested
+     * again, so the attempt is cancelled.
      */
     synchronized void callerGone() {
         if (callerGone) {
@@ -414,12 +428,12 @@
             return;
         }
         cancelAttempt();
-        fail(Outcome.UNKNOWN, "the caller went away");
+        fail(Outcome.UNKNOWN, "the caller closed its connection");
     }
 
     private void cancelAttempt() {
-        if (submitted && funding.isHeld()) {
-            services.links().cancel(funding.attempt());
+        if (submitted && attemptReservation.isHeld()) {
+            services.links().cancel(attemptReservation.attempt());
         }
     }
 
--- a/entry/src/main/java/org/streamring/entry/request/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/request/package-info.java
@@ -1,4 +1,4 @@
-/** What an entry does with one request, from its key to its final answer. */
+/** Processes one request in an entry, from authentication to the final answer. */
 @NullMarked
 package org.streamring.entry.request;
 
