--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -114,7 +114,7 @@
             configurationChanged(config, changes);
         });
         links.listen(new PeerRecorder());
-        ledgers.prepareNew(ledger -> {
+        ledgers.onNewLedger(ledger -> {
             links.connectedIncarnations().forEach(ledger::announcePeer);
             ledger.reportConfigVersion(configuration.current().version());
         });
@@ -125,7 +125,7 @@
                 settings.get(EntrySettings.MAX_BODY),
                 settings.get(EntrySettings.CALL_WAIT),
                 coordinator);
-        ledgers.reachableAt(address + ":" + callers.port());
+        ledgers.setAddress(address + ":" + callers.port());
         admin = new AdminServer(
                 loops, new InetSocketAddress(address, settings.get(EntrySettings.ADMIN_PORT)), metrics, this::ready);
         LOGGER.info(
@@ -164,7 +164,7 @@
                 new BillArchive(platform.objects()),
                 links,
                 ledgers,
-                ledgerRunner::lastTroubleMillis,
+                ledgerRunner::lastOutageMillis,
                 settings.get(EntrySettings.SUSPECT_AFTER),
                 watchInterval);
         tasks.add(new Repeated("config", settings.get(EntrySettings.CONFIG_INTERVAL), poller::poll));
@@ -218,7 +218,7 @@
         @Override
         public void sidecarConnected(String incarnation) {
             ledgers.current().announcePeer(incarnation);
-            ledgerRunner.kick();
+            ledgerRunner.requestPlan();
             uncertain.resolve(incarnation);
         }
 
@@ -254,7 +254,7 @@
                 + settings.get(EntrySettings.STOP_WAIT).toMillis();
         waitUntil(until, () -> coordinator.openRequests() == 0 && links.openAttempts() == 0);
         ledgers.current().drainAll();
-        ledgerRunner.kick();
+        ledgerRunner.requestPlan();
         // Also while the table does not answer: one lost answer must not leave leases to be closed by another entry.
         long settledUntil = System.currentTimeMillis()
                 + settings.get(EntrySettings.SETTLE_WAIT).toMillis();
@@ -270,7 +270,7 @@
         try {
             while (!condition.getAsBoolean() && System.currentTimeMillis() < untilMillis) {
                 Thread.sleep(STOP_POLL_MILLIS);
-                ledgerRunner.kick();
+                ledgerRunner.requestPlan();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/entry/src/main/java/org/streamring/entry/ledger/LeaseWaiters.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/LeaseWaiters.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Requests that wait for a lease. */
+/** Collection of the requests that wait for a lease. Thread-safe. */
 public final class LeaseWaiters {
     private final List<Waiter> waiting = new ArrayList<>();
 
-    /** A waiting request. */
+    /** Request that waits for a lease. */
     public interface Waiter {
         /**
-         * Tries again; called when leases may have arrived or when none will arrive soon.
+         * Tries again to reserve tokens. Called when leases may have been obtained or when none can be obtained soon.
          *
-         * @param storeAway whether the table does not answer
-         * @return whether the request need not wait any longer
+         * @param storeUnreachable whether the table is unreachable
+         * @return whether the request no longer has to wait
          */
-        boolean tryAgain(boolean storeAway);
+        boolean retryReservation(boolean storeUnreachable);
     }
 
     /** Adds a request. */
@@ -23,22 +23,27 @@
         waiting.add(waiter);
     }
 
-    /** Requests that wait. */
+    /** Returns the number of waiting requests. */
     public synchronized int size() {
         return waiting.size();
     }
 
-    /** Lets every waiting request try again. */
-    public void wake(boolean storeAway) {
-        List<Waiter> woken;
+    /**
+     * Retries the reservation of every waiting request.
+     *
+     * @param storeUnreachable whether the table is unreachable
+     */
+    public void retryAll(boolean storeUnreachable) {
+        List<Waiter> retried;
         synchronized (this) {
-            woken = new ArrayList<>(waiting);
+            retried = new ArrayList<>(waiting);
             waiting.clear();
         }
-        List<Waiter> still =
-                woken.stream().filter(waiter -> !waiter.tryAgain(storeAway)).toList();
+        List<Waiter> stillWaiting = retried.stream()
+                .filter(waiter -> !waiter.retryReservation(storeUnreachable))
+                .toList();
         synchronized (this) {
-            waiting.addAll(still);
+            waiting.addAll(stillWaiting);
         }
     }
 }
--- a/entry/src/main/java/org/streamring/entry/ledger/LedgerHolder.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/LedgerHolder.java
@@ -8,7 +8,10 @@
 import org.streamring.kernel.ledger.LedgerSettings;
 import org.streamring.net.process.Incarnations;
 
-/** The ledger of the entry's current incarnation; a fenced one is replaced by that of a new incarnation. */
+/**
+ * Holds the lease ledger of the entry's current incarnation. A fenced ledger is replaced by the ledger of a new
+ * incarnation.
+ */
 public final class LedgerHolder {
     private static final Logger LOGGER = LoggerFactory.getLogger(LedgerHolder.class);
 
@@ -16,9 +19,9 @@
     private volatile String address;
     private final LedgerSettings settings;
     private final AtomicReference<LeaseLedger> current;
-    private volatile Consumer<LeaseLedger> onNew = ledger -> {};
+    private volatile Consumer<LeaseLedger> newLedgerAction = ledger -> {};
 
-    /** Starts the first incarnation. */
+    /** Creates the ledger of the first incarnation. */
     public LedgerHolder(String boxName, String address, LedgerSettings settings) {
         this.boxName = boxName;
         this.address = address;
@@ -30,26 +33,32 @@
         return new LeaseLedger(Incarnations.next(boxName), address, settings);
     }
 
-    /** Sets what is told to every further incarnation's ledger before it is used, such as the connected sidecars. */
-    public void prepareNew(Consumer<LeaseLedger> preparation) {
-        onNew = preparation;
+    /**
+     * Sets an action that is applied to the ledger of each later incarnation before it is used, such as announcing the
+     * connected sidecars.
+     */
+    public void onNewLedger(Consumer<LeaseLedger> action) {
+        newLedgerAction = action;
     }
 
-    /** Sets where callers reach the entry, once its port is known. */
-    public void reachableAt(String newAddress) {
+    /** Sets the address at which callers reach the entry, after its port has been assigned. */
+    public void setAddress(String newAddress) {
         address = newAddress;
         current().reportAddress(newAddress);
     }
 
-    /** The ledger in use. */
+    /** Returns the ledger in use. */
     public LeaseLedger current() {
         return current.get();
     }
 
-    /** Replaces a fenced ledger. */
+    /**
+     * Replaces a fenced ledger by the ledger of a new incarnation, unless it was already replaced. Returns the ledger
+     * in use.
+     */
     public LeaseLedger replace(LeaseLedger fenced) {
         LeaseLedger next = newLedger();
-        onNew.accept(next);
+        newLedgerAction.accept(next);
         if (current.compareAndSet(fenced, next)) {
             LOGGER.warn("ledger_fenced old={} new={}", fenced.incarnation(), next.incarnation());
         }
--- a/entry/src/main/java/org/streamring/entry/ledger/LedgerRunner.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/LedgerRunner.java
@@ -25,14 +25,13 @@
 import org.streamring.platform.BillArchive;
 
 /**
- * Applies the ledger's plans, one after the other, on a thread of its own. Plans are made at an interval, or at once
- * when
- * a request waits. While the table does not answer, the open plan is tried again with jittered pauses.
+ * Applies the ledger's plans to the table, one after the other, on its own thread. Plans are made at an interval, or
+ * immediately when a request waits for a lease. During a store outage, the open plan is retried with jittered pauses.
  */
 public final class LedgerRunner {
     private static final Logger LOGGER = LoggerFactory.getLogger(LedgerRunner.class);
-    private static final long SHORTEST_PAUSE_MILLIS = 20;
-    private static final long RETRY_MILLIS = 500;
+    private static final long MIN_PAUSE_MILLIS = 20;
+    private static final long MEAN_RETRY_PAUSE_MILLIS = 500;
 
     private final LedgerHolder holder;
     private final PlatformTable table;
@@ -40,16 +39,16 @@
     private final SidecarLinks links;
     private final LeaseWaiters waiters;
     private final Duration interval;
-    private final Semaphore kicks = new Semaphore(0);
+    private final Semaphore planRequests = new Semaphore(0);
     private final Thread thread;
     private final Counter committed;
     private final Counter rejected;
     private final Counter unanswered;
-    private volatile boolean storeAway;
-    private volatile long lastTroubleMillis = -1;
+    private volatile boolean storeUnreachable;
+    private volatile long lastOutageMillis = -1;
     private volatile boolean stopped;
 
-    /** Creates one; {@link #start} starts it. */
+    /** Creates a runner; {@link #start} starts its thread. */
     public LedgerRunner(
             LedgerHolder holder,
             PlatformTable table,
@@ -89,28 +88,31 @@
         thread.start();
     }
 
-    /** Asks for a plan now. */
-    public void kick() {
-        if (kicks.availablePermits() == 0) {
-            kicks.release();
+    /** Requests that a plan is made without waiting for the interval. */
+    public void requestPlan() {
+        if (planRequests.availablePermits() == 0) {
+            planRequests.release();
         }
     }
 
-    /** When the table last gave no answer, by the clock of this process; negative for never. */
-    public long lastTroubleMillis() {
-        return lastTroubleMillis;
+    /**
+     * Returns when the table last failed to answer, in milliseconds of the local clock; negative if it has always
+     * answered.
+     */
+    public long lastOutageMillis() {
+        return lastOutageMillis;
     }
 
-    /** Whether the table does not answer. */
-    public boolean storeAway() {
-        return storeAway;
+    /** Returns whether the table is unreachable. */
+    public boolean storeUnreachable() {
+        return storeUnreachable;
     }
 
     private void run() {
         while (!stopped) {
             try {
                 pause();
-                step();
+                applyNextPlan();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -121,26 +123,27 @@
     }
 
     private void pause() throws InterruptedException {
-        if (storeAway) {
-            Thread.sleep(RETRY_MILLIS / 2 + ThreadLocalRandom.current().nextLong(RETRY_MILLIS));
+        if (storeUnreachable) {
+            Thread.sleep(
+                    MEAN_RETRY_PAUSE_MILLIS / 2 + ThreadLocalRandom.current().nextLong(MEAN_RETRY_PAUSE_MILLIS));
             return;
         }
-        Thread.sleep(SHORTEST_PAUSE_MILLIS);
-        kicks.tryAcquire(interval.toMillis(), TimeUnit.MILLISECONDS);
-        kicks.drainPermits();
+        Thread.sleep(MIN_PAUSE_MILLIS);
+        planRequests.tryAcquire(interval.toMillis(), TimeUnit.MILLISECONDS);
+        planRequests.drainPermits();
     }
 
     /** Makes and applies one plan. */
-    private void step() {
+    private void applyNextPlan() {
         LeaseLedger ledger = holder.current();
-        lookAtUsedUpBudgets(ledger);
+        readUsedUpBudgets(ledger);
         Optional<LedgerPlan> plan = ledger.plan(System.currentTimeMillis());
         if (plan.isEmpty()) {
             ledger.allowSettling(true);
             if (ledger.isFenced()) {
                 holder.replace(ledger);
             }
-            waiters.wake(false);
+            waiters.retryAll(false);
             return;
         }
         if (!writeBills(ledger, plan.get())) {
@@ -148,20 +151,20 @@
         }
         try {
             TransactionResult result = table.transact(plan.get().transaction());
-            noteStore(false);
+            recordStoreState(false);
             handle(ledger, ledger.resolve(result, System.currentTimeMillis()));
         } catch (PlatformException e) {
             ledger.noAnswer();
             unanswered.increment();
-            noteStore(true);
+            recordStoreState(true);
         }
-        waiters.wake(storeAway);
+        waiters.retryAll(storeUnreachable);
         if (ledger.wantsPlanSoon()) {
-            kick();
+            requestPlan();
         }
     }
 
-    private void lookAtUsedUpBudgets(LeaseLedger ledger) {
+    private void readUsedUpBudgets(LeaseLedger ledger) {
         List<String> budgets = ledger.budgetsToLookAt(System.currentTimeMillis());
         if (budgets.isEmpty()) {
             return;
@@ -174,11 +177,14 @@
                 ledger.lookedAt(budget, row == null ? 0 : row.amount(), System.currentTimeMillis());
             }
         } catch (PlatformException e) {
-            noteStore(true);
+            recordStoreState(true);
         }
     }
 
-    /** Without its bills a plan is not applied; leases are still taken while the object store is away. */
+    /**
+     * Writes the bill items of a plan; returns false if that failed. A plan is applied only after its bill items are
+     * written. While the object store is unreachable, settling is suspended and leases are still acquired.
+     */
     private boolean writeBills(LeaseLedger ledger, LedgerPlan plan) {
         if (plan.billItems().isEmpty()) {
             ledger.allowSettling(true);
@@ -188,11 +194,11 @@
             bills.writeSettled(ledger.incarnation(), plan.sequence(), plan.billItems());
             return true;
         } catch (PlatformException e) {
-            if (!storeAway) {
+            if (!storeUnreachable) {
                 LOGGER.warn("bills_not_written step={} peer={} problem={}", e.step(), e.peer(), e.getMessage());
                 ledger.abandonUnsent();
                 ledger.allowSettling(false);
-                kick();
+                requestPlan();
             }
             return false;
         }
@@ -216,14 +222,14 @@
         }
     }
 
-    private void noteStore(boolean away) {
-        if (away) {
-            lastTroubleMillis = System.currentTimeMillis();
+    private void recordStoreState(boolean unreachable) {
+        if (unreachable) {
+            lastOutageMillis = System.currentTimeMillis();
         }
-        if (away != storeAway) {
-            LOGGER.warn("table_{}", away ? "away" : "back");
+        if (unreachable != storeUnreachable) {
+            LOGGER.warn("table_{}", unreachable ? "away" : "back");
         }
-        storeAway = away;
+        storeUnreachable = unreachable;
     }
 
     /** Stops the thread. */
--- a/entry/src/main/java/org/streamring/entry/ledger/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/package-info.java
@@ -1,4 +1,4 @@
-/** Runs the lease ledger against the table, and holds requests that wait for a lease. */
+/** Applies the plans of the lease ledger to the table, and keeps the requests that wait for a lease. */
 @NullMarked
 package org.streamring.entry.ledger;
 
--- a/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
@@ -54,14 +54,14 @@
     private final EntryWatch watch;
     private final Duration silentAfter;
     private final Duration interval;
-    private final LongSupplier lastTroubleMillis;
+    private final LongSupplier lastOutageMillis;
     private long nextLookMillis;
     private final Map<String, Long> closingSince = new HashMap<>();
 
     /**
      * Creates one.
      *
-     * @param lastTroubleMillis when the table last gave no answer
+     * @param lastOutageMillis when the table last gave no answer
      * @param suspectAfter time without a sign of life after which an entry is taken for dead
      * @param interval time between looks
      */
@@ -70,7 +70,7 @@
             BillArchive bills,
             SidecarLinks links,
             LedgerHolder ledgers,
-            LongSupplier lastTroubleMillis,
+            LongSupplier lastOutageMillis,
             Duration suspectAfter,
             Duration interval) {
         this.table = table;
@@ -80,7 +80,7 @@
         this.watch = new EntryWatch(suspectAfter);
         this.silentAfter = suspectAfter;
         this.interval = interval;
-        this.lastTroubleMillis = lastTroubleMillis;
+        this.lastOutageMillis = lastOutageMillis;
     }
 
     /**
@@ -94,7 +94,7 @@
         }
         List<Row> entries = scan(RowKeys.ENTRIES);
         nextLookMillis = nowMillis + interval.toMillis() * (entries.size() / ENTRIES_PER_INTERVAL);
-        List<Row> suspects = watch.observe(entries, lastTroubleMillis.getAsLong(), nowMillis);
+        List<Row> suspects = watch.observe(entries, lastOutageMillis.getAsLong(), nowMillis);
         Set<String> live = new HashSet<>();
         entries.forEach(row -> live.add(LeaseCloser.incarnationOf(row)));
         suspects.forEach(row -> live.remove(LeaseCloser.incarnationOf(row)));
--- a/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
+++ b/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
@@ -113,11 +113,11 @@
     }
 
     private void reserveOrWait() {
-        if (reserve(services.ledgerRunner().storeAway())) {
+        if (reserve(services.ledgerRunner().storeUnreachable())) {
             return;
         }
         services.waiters().add(this::retryReservation);
-        services.ledgerRunner().kick();
+        services.ledgerRunner().requestPlan();
         services.loops()
                 .next()
                 .schedule(this::leaseWaitExpired, services.leaseWait().toMillis(), TimeUnit.MILLISECONDS);
@@ -130,8 +130,8 @@
         return request;
     }
 
-    private synchronized boolean retryReservation(boolean storeAway) {
-        return done || attemptReservation.isHeld() || reserve(storeAway);
+    private synchronized boolean retryReservation(boolean storeUnreachable) {
+        return done || attemptReservation.isHeld() || reserve(storeUnreachable);
     }
 
     private synchronized void leaseWaitExpired() {
@@ -141,7 +141,7 @@
     }
 
     /** Tries to reserve tokens; returns false if the request must wait for a lease. */
-    private boolean reserve(boolean storeAway) {
+    private boolean reserve(boolean storeUnreachable) {
         AdmittedRequest admitted = request();
         ReserveResult result = attemptReservation.reserve(admitted, now());
         if (result instanceof ReserveResult.Reserved) {
@@ -155,7 +155,7 @@
                     usedUp.retryAfter()));
             return true;
         }
-        if (storeAway) {
+        if (storeUnreachable) {
             refuse(Refusal.of(
                     RefusalReason.LEASE_UNAVAILABLE, "no lease can be obtained because the store is unreachable"));
             return true;
@@ -277,7 +277,7 @@
         submitted = false;
         if (reason == RefusalReason.FENCED) {
             attemptReservation.abandonLedger();
-            services.ledgerRunner().kick();
+            services.ledgerRunner().requestPlan();
         }
         boolean retry = !done && !FINAL_REASONS.contains(reason) && routes.attemptsLeft() && mayRetryAfter(reason);
         if (!retry) {
