--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -170,7 +170,7 @@
         tasks.add(new Repeated("config", settings.get(EntrySettings.CONFIG_INTERVAL), poller::poll));
         tasks.add(new Repeated("boxes", settings.get(EntrySettings.BOXES_INTERVAL), boxes::poll));
         tasks.add(new Repeated("ping", settings.get(EntrySettings.PING_INTERVAL), this::ping));
-        tasks.add(new Repeated("recovery", watchInterval, () -> recovery.look(System.currentTimeMillis())));
+        tasks.add(new Repeated("recovery", watchInterval, () -> recovery.runIfDue(System.currentTimeMillis())));
         tasks.forEach(Repeated::start);
         ledgerRunner.start();
         Gauge.builder("streamring.config.version", () -> configuration.current().version())
--- a/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
@@ -36,15 +36,14 @@
 import org.streamring.platform.BillArchive;
 
 /**
- * Looks, at an interval, for entries that show no sign of life and closes their leases; and for held tokens whose
- * sidecar is connected again. Which entry acts is decided by hashing over the live ones; if two act at once, the
- * table's
- * conditions let one of them settle.
+ * Closes the leases of entries that appear to be dead, and settles held tokens after their sidecar has reconnected.
+ * The responsible entry is chosen by rendezvous hashing over the live entries. If two entries act at the same time, the
+ * conditions of the table let only one of them settle.
  */
 public final class RecoveryRunner {
     private static final Logger LOGGER = LoggerFactory.getLogger(RecoveryRunner.class);
-    private static final int PAGE = 500;
-    private static final long ANSWER_MILLIS = 2_000;
+    private static final int PAGE_ROWS = 500;
+    private static final long ANSWER_TIMEOUT_MILLIS = 2_000;
     private static final int ENTRIES_PER_INTERVAL = 16;
 
     private final PlatformTable table;
@@ -52,18 +51,19 @@
     private final SidecarLinks links;
     private final LedgerHolder ledgers;
     private final EntryWatch watch;
-    private final Duration silentAfter;
+    private final Duration unansweredAfter;
     private final Duration interval;
     private final LongSupplier lastOutageMillis;
-    private long nextLookMillis;
+    private long nextRunMillis;
     private final Map<String, Long> closingSince = new HashMap<>();
 
     /**
-     * Creates one.
+     * Creates a runner.
      *
-     * @param lastOutageMillis when the table last gave no answer
-     * @param suspectAfter time without a sign of life after which an entry is taken for dead
-     * @param interval time between looks
+     * @param lastOutageMillis returns when the table last failed to answer, in milliseconds; negative if it has always
+     *     answered
+     * @param suspectAfter time without a sign of life after which an entry is suspected to be dead
+     * @param interval time between runs
      */
     public RecoveryRunner(
             PlatformTable table,
@@ -78,22 +78,21 @@
         this.links = links;
         this.ledgers = ledgers;
         this.watch = new EntryWatch(suspectAfter);
-        this.silentAfter = suspectAfter;
+        this.unansweredAfter = suspectAfter;
         this.interval = interval;
         this.lastOutageMillis = lastOutageMillis;
     }
 
     /**
-     * Looks, if it is time to: the more entries there are, the more seldom each of them looks, so that together they
-     * read
-     * the table at a bounded rate.
+     * Runs one recovery pass if it is due. The interval grows with the number of entries, so that all entries together
+     * read the table at a bounded rate.
      */
-    public void look(long nowMillis) throws PlatformException {
-        if (nowMillis < nextLookMillis) {
+    public void runIfDue(long nowMillis) throws PlatformException {
+        if (nowMillis < nextRunMillis) {
             return;
         }
         List<Row> entries = scan(RowKeys.ENTRIES);
-        nextLookMillis = nowMillis + interval.toMillis() * (entries.size() / ENTRIES_PER_INTERVAL);
+        nextRunMillis = nowMillis + interval.toMillis() * (entries.size() / ENTRIES_PER_INTERVAL);
         List<Row> suspects = watch.observe(entries, lastOutageMillis.getAsLong(), nowMillis);
         Set<String> live = new HashSet<>();
         entries.forEach(row -> live.add(LeaseCloser.incarnationOf(row)));
@@ -102,18 +101,18 @@
         live.add(own);
         for (Row suspect : suspects) {
             String incarnation = LeaseCloser.incarnationOf(suspect);
-            if (!incarnation.equals(own) && actsFor(incarnation, live, own)) {
+            if (!incarnation.equals(own) && isResponsibleFor(incarnation, live, own)) {
                 close(suspect, incarnation, own, nowMillis);
             }
         }
         for (Row held : scan(RowKeys.HELD)) {
-            if (actsFor(held.key(), live, own)) {
+            if (isResponsibleFor(held.key(), live, own)) {
                 resolveHeld(held, own, nowMillis);
             }
         }
     }
 
-    private static boolean actsFor(String key, Set<String> live, String own) {
+    private static boolean isResponsibleFor(String key, Set<String> live, String own) {
         return RendezvousHash.order(key, live).get(0).equals(own);
     }
 
@@ -122,10 +121,10 @@
         List<Row> page;
         String after = "";
         do {
-            page = table.scan(prefix, after, PAGE);
+            page = table.scan(prefix, after, PAGE_ROWS);
             rows.addAll(page);
             after = page.isEmpty() ? after : page.get(page.size() - 1).key();
-        } while (page.size() == PAGE);
+        } while (page.size() == PAGE_ROWS);
         return rows;
     }
 
@@ -133,11 +132,11 @@
         LeaseCloser closer = new LeaseCloser(own);
         Row entryRow = suspect;
         if (!closer.owns(entryRow)) {
-            Optional<Row> marked = committedRow(table.transact(closer.markClosing(entryRow)), entryRow.key());
-            if (marked.isEmpty()) {
+            Optional<Row> closing = committedRow(table.transact(closer.markClosing(entryRow)), entryRow.key());
+            if (closing.isEmpty()) {
                 return;
             }
-            entryRow = marked.get();
+            entryRow = closing.get();
             LOGGER.info("entry_closing incarnation={}", incarnation);
         }
         long since = closingSince.computeIfAbsent(incarnation, key -> nowMillis);
@@ -145,37 +144,37 @@
         if (peersRows.isEmpty()) {
             return;
         }
-        boolean giveUpOnSilent = nowMillis - since > silentAfter.toMillis();
+        boolean skipUnanswered = nowMillis - since > unansweredAfter.toMillis();
         List<String> peers = LeaseCloser.peersOf(peersRows.get(0));
-        Optional<List<PeerReceipts>> answers = fenceAll(peers, incarnation, giveUpOnSilent);
+        Optional<List<PeerReceipts>> answers = fenceAll(peers, incarnation, skipUnanswered);
         if (answers.isPresent()) {
-            List<BillItem> known = bills.takeOver(incarnation, entryRow.amount());
-            LeaseCloser.Findings findings = new LeaseCloser.Findings(peers, answers.get(), known);
+            List<BillItem> writtenItems = bills.takeOver(incarnation, entryRow.amount());
+            LeaseCloser.Findings findings = new LeaseCloser.Findings(peers, answers.get(), writtenItems);
             settleAll(closer, entryRow, peersRows.get(0), findings, nowMillis);
         }
     }
 
-    /** Empty if an answer is still awaited or an attempt still runs. */
-    private Optional<List<PeerReceipts>> fenceAll(List<String> peers, String incarnation, boolean giveUpOnSilent) {
+    /** Fences an entry at its sidecars. Returns empty if an answer is still missing or an attempt is still running. */
+    private Optional<List<PeerReceipts>> fenceAll(List<String> peers, String incarnation, boolean skipUnanswered) {
         List<PeerReceipts> answers = new ArrayList<>();
-        boolean wait = false;
+        boolean incomplete = false;
         for (String peer : peers) {
             Optional<PeerReceipts> answer =
                     await(links.fence(peer, incarnation)).map(list -> new PeerReceipts(peer, list));
             if (answer.isEmpty()) {
-                wait |= !giveUpOnSilent;
+                incomplete |= !skipUnanswered;
             } else if (answer.get().stillRunning()) {
-                wait = true;
+                incomplete = true;
             } else {
                 answers.add(answer.get());
             }
         }
-        return wait ? Optional.empty() : Optional.of(answers);
+        return incomplete ? Optional.empty() : Optional.of(answers);
     }
 
     private static Optional<List<Receipt>> await(CompletableFuture<List<Receipt>> answer) {
         try {
-            return Optional.of(answer.get(ANSWER_MILLIS, TimeUnit.MILLISECONDS));
+            return Optional.of(answer.get(ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return Optional.empty();
@@ -185,11 +184,11 @@
     }
 
     private void settleAll(
-            LeaseCloser closer, Row markedRow, Row peersRow, LeaseCloser.Findings findings, long nowMillis)
+            LeaseCloser closer, Row closingRow, Row peersRow, LeaseCloser.Findings findings, long nowMillis)
             throws PlatformException {
-        String incarnation = LeaseCloser.incarnationOf(markedRow);
+        String incarnation = LeaseCloser.incarnationOf(closingRow);
         String own = ledgers.current().incarnation();
-        Row entryRow = markedRow;
+        Row entryRow = closingRow;
         List<Row> leaseRows = scan(RowKeys.leasesOf(incarnation));
         for (int from = 0; from < leaseRows.size(); from += LeaseCloser.MAX_LEASES) {
             List<Row> batch = leaseRows.subList(from, Math.min(leaseRows.size(), from + LeaseCloser.MAX_LEASES));
@@ -221,7 +220,7 @@
             if (!links.isConnected(peer)) {
                 continue;
             }
-            Optional<List<Receipt>> receipts = await(ask(peer, record));
+            Optional<List<Receipt>> receipts = await(queryReceipts(peer, record));
             if (receipts.isEmpty() || !HeldResolver.isFinal(heldRow, receipts.get())) {
                 continue;
             }
@@ -238,8 +237,11 @@
         }
     }
 
-    /** Of a closed entry all receipts are asked for, which fences it there too; of a live one only those in doubt. */
-    private CompletableFuture<List<Receipt>> ask(String peer, HeldRecord record) {
+    /**
+     * Queries a sidecar for receipts: for a closed entry all of them, which also fences the entry at that sidecar; for
+     * a live entry only those of the uncertain attempts.
+     */
+    private CompletableFuture<List<Receipt>> queryReceipts(String peer, HeldRecord record) {
         return record.attempts().isEmpty()
                 ? links.fence(peer, entryOf(record.leaseId()))
                 : links.receipts(peer, record.attempts());
--- a/entry/src/main/java/org/streamring/entry/recovery/UncertainResolver.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/UncertainResolver.java
@@ -10,18 +10,18 @@
 import org.streamring.kernel.ledger.Reservation;
 import org.streamring.kernel.receipt.Receipt;
 
-/** Asks a sidecar that is connected again what became of this entry's attempts in doubt. */
+/** Resolves uncertain attempts of this entry by querying the sidecar that ran them, after it has reconnected. */
 public final class UncertainResolver {
     private final LedgerHolder ledgers;
     private final SidecarLinks links;
 
-    /** Creates one. */
+    /** Creates a resolver. */
     public UncertainResolver(LedgerHolder ledgers, SidecarLinks links) {
         this.ledgers = ledgers;
         this.links = links;
     }
 
-    /** Asks one sidecar, if anything is in doubt there. */
+    /** Queries one sidecar for the receipts of the attempts that are uncertain there, if there are any. */
     public void resolve(String sidecarIncarnation) {
         LeaseLedger ledger = ledgers.current();
         List<Reservation> uncertain = ledger.uncertainAt(sidecarIncarnation);
@@ -30,10 +30,10 @@
         }
         List<String> attempts = uncertain.stream().map(Reservation::attempt).toList();
         links.receipts(sidecarIncarnation, attempts)
-                .thenAccept(receipts -> book(ledger, sidecarIncarnation, uncertain, receipts));
+                .thenAccept(receipts -> settle(ledger, sidecarIncarnation, uncertain, receipts));
     }
 
-    private static void book(
+    private static void settle(
             LeaseLedger ledger, String sidecarIncarnation, List<Reservation> uncertain, List<Receipt> receipts) {
         Map<String, Receipt> byAttempt = new HashMap<>();
         receipts.forEach(receipt -> byAttempt.put(receipt.attempt(), receipt));
--- a/entry/src/main/java/org/streamring/entry/recovery/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/package-info.java
@@ -1,4 +1,4 @@
-/** Closes the leases of dead entries and settles held tokens when sidecars come back. */
+/** Closes the leases of dead entries and settles held tokens after sidecars have reconnected. */
 @NullMarked
 package org.streamring.entry.recovery;
 
