--- a/entry/src/main/java/org/streamring/entry/once/ClaimCommitter.java
+++ b/entry/src/main/java/org/streamring/entry/once/ClaimCommitter.java
@@ -21,24 +21,25 @@
 import org.streamring.kernel.table.Transaction;
 
 /**
- * Commits claims on a thread of its own. Claims that come while a transaction is under way go together into the next
- * one. A claim whose transaction got no answer fails at once: nothing was forwarded for it, so its request was not run.
+ * Commits claims in batches on its own thread. Claims that are added during a transaction are combined into the next
+ * one. If the table does not answer a transaction, its claims fail immediately: nothing was forwarded for them, so
+ * their requests were not run.
  */
 public final class ClaimCommitter {
     private static final int MAX_BATCH = Transaction.MAX_OPERATIONS;
     private static final int MAX_QUEUE = 1000;
-    private static final int TRIES = 2;
+    private static final int MAX_TRIES = 2;
 
     private final PlatformTable table;
     private final String idPrefix;
     private final BlockingQueue<Pending> queue = new LinkedBlockingQueue<>(MAX_QUEUE);
-    private final AtomicLong counter = new AtomicLong();
+    private final AtomicLong transactionCounter = new AtomicLong();
     private final Thread thread;
 
     private record Pending(Claim claim, CompletableFuture<ClaimResult> result) {}
 
     /**
-     * Starts the thread.
+     * Creates a committer and starts its thread.
      *
      * @param idPrefix unique prefix for transaction identifiers
      */
@@ -50,17 +51,17 @@
         this.thread.start();
     }
 
-    /** Commits a claim; the future fails if the table gave no answer. */
+    /** Commits a claim. The returned future fails if the table did not answer or too many claims are queued. */
     public CompletableFuture<ClaimResult> commit(Claim claim) {
         CompletableFuture<ClaimResult> result = new CompletableFuture<>();
         if (!queue.offer(new Pending(claim, result))) {
-            result.completeExceptionally(new RejectedExecutionException("too many claims wait"));
+            result.completeExceptionally(new RejectedExecutionException("too many claims are queued"));
         }
         return result;
     }
 
-    /** Reads the claim that stands on a request, if there is one; waits for the table. */
-    public Optional<ClaimResult.Bound> standing(String requestKey) throws PlatformException {
+    /** Reads the existing claim on a request; empty if there is none. Blocks until the table answers. */
+    public Optional<ClaimResult.Bound> existingClaim(String requestKey) throws PlatformException {
         return table.read(List.of(RowKeys.claim(requestKey))).stream()
                 .findFirst()
                 .map(row -> new ClaimResult.Bound(row, RowText.read(row.text(), ClaimRecord.class)));
@@ -76,7 +77,7 @@
         }
     }
 
-    /** Claims on the same request go into different batches. */
+    /** Returns the claims of the next batch, at least one. Claims on the same request go into different batches. */
     private List<Pending> nextBatch() throws InterruptedException {
         List<Pending> candidates = new ArrayList<>();
         candidates.add(queue.take());
@@ -87,7 +88,7 @@
             if (keys.add(pending.claim().rowKey())) {
                 batch.add(pending);
             } else if (!queue.offer(pending)) {
-                pending.result().completeExceptionally(new RejectedExecutionException("too many claims wait"));
+                pending.result().completeExceptionally(new RejectedExecutionException("too many claims are queued"));
             }
         }
         return batch;
@@ -95,7 +96,7 @@
 
     private void commitBatch(List<Pending> pending) {
         ClaimBatch batch = new ClaimBatch(
-                idPrefix + ":claims:" + counter.incrementAndGet(),
+                idPrefix + ":claims:" + transactionCounter.incrementAndGet(),
                 pending.stream().map(Pending::claim).toList());
         try {
             Optional<Transaction> next = batch.next();
@@ -104,26 +105,30 @@
                 next = batch.next();
             }
         } catch (PlatformException e) {
-            pending.forEach(one -> one.result().completeExceptionally(e));
+            pending.forEach(entry -> entry.result().completeExceptionally(e));
             return;
         }
-        pending.forEach(one -> one.result().complete(batch.result(one.claim()).orElse(new ClaimResult.Conflict())));
+        pending.forEach(
+                entry -> entry.result().complete(batch.result(entry.claim()).orElse(new ClaimResult.Conflict())));
     }
 
-    /** A second try with the same identifiers finds out whether the first one took effect. */
+    /**
+     * Applies a transaction and retries it once if the table does not answer. The retry uses the same identifier, so
+     * that it returns the result of the first try if that took effect.
+     */
     private org.streamring.kernel.table.TransactionResult transact(Transaction transaction) throws PlatformException {
         for (int attempt = 1; ; attempt++) {
             try {
                 return table.transact(transaction);
             } catch (PlatformException e) {
-                if (attempt == TRIES) {
+                if (attempt == MAX_TRIES) {
                     throw e;
                 }
             }
         }
     }
 
-    /** Ends the thread. */
+    /** Stops the thread. */
     public void close() {
         thread.interrupt();
     }
--- a/entry/src/main/java/org/streamring/entry/once/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/once/package-info.java
@@ -1,4 +1,4 @@
-/** Commits claims on requests that run at most once, in groups. */
+/** Commits claims on requests that run at most once, in batches. */
 @NullMarked
 package org.streamring.entry.once;
 
--- a/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
+++ b/entry/src/main/java/org/streamring/entry/request/RunningRequest.java
@@ -225,10 +225,10 @@
             return false;
         }
         try {
-            Optional<ClaimResult.Bound> standing =
-                    services.claims().standing(request().requestKey());
-            standing.ifPresent(this::followClaim);
-            return standing.isPresent();
+            Optional<ClaimResult.Bound> existingClaim =
+                    services.claims().existingClaim(request().requestKey());
+            existingClaim.ifPresent(this::followClaim);
+            return existingClaim.isPresent();
         } catch (PlatformException e) {
             releaseAndRefuse(
                     RefusalReason.STORE_UNAVAILABLE, "the request can't be claimed, so this attempt was not run");
