--- a/entry/src/main/java/org/streamring/entry/BoxPoller.java
+++ b/entry/src/main/java/org/streamring/entry/BoxPoller.java
@@ -38,6 +38,6 @@
         kept.removeIf(server -> listedNames.contains(server.name()) || !links.hasConnection(server.name()));
         chosen.addAll(kept);
         replicas.relist(chosen);
-        links.relist(chosen);
+        links.updateSubset(chosen);
     }
 }
--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -113,7 +113,7 @@
             index.update(config);
             configurationChanged(config, changes);
         });
-        links.listen(new PeerRecorder());
+        links.addListener(new PeerRecorder());
         ledgers.onNewLedger(ledger -> {
             links.connectedIncarnations().forEach(ledger::announcePeer);
             ledger.reportConfigVersion(configuration.current().version());
@@ -169,7 +169,7 @@
                 watchInterval);
         tasks.add(new Repeated("config", settings.get(EntrySettings.CONFIG_INTERVAL), poller::poll));
         tasks.add(new Repeated("boxes", settings.get(EntrySettings.BOXES_INTERVAL), boxes::poll));
-        tasks.add(new Repeated("ping", settings.get(EntrySettings.PING_INTERVAL), this::ping));
+        tasks.add(new Repeated("ping", settings.get(EntrySettings.PING_INTERVAL), this::sendHeartbeats));
         tasks.add(new Repeated("recovery", watchInterval, () -> recovery.runIfDue(System.currentTimeMillis())));
         tasks.forEach(Repeated::start);
         ledgerRunner.start();
@@ -184,14 +184,14 @@
                 .register(metrics);
     }
 
-    private void ping() {
+    private void sendHeartbeats() {
         Map<String, String> orders = new HashMap<>();
         configuration
                 .current()
                 .declarations()
                 .backends()
                 .forEach((name, order) -> orders.put(name, order.state().name().toLowerCase(Locale.ROOT)));
-        links.ping(configuration.current().version(), orders);
+        links.sendHeartbeats(configuration.current().version(), orders);
     }
 
     private void configurationChanged(Configuration config, List<ConfigChange> changes) {
@@ -205,7 +205,7 @@
         ledgers.current().reportConfigVersion(config.version());
         changes.stream().flatMap(change -> change.grants().stream()).forEach(grant -> ledgers.current()
                 .toppedUp(grant.budget()));
-        ping();
+        sendHeartbeats();
     }
 
     private boolean ready() {
--- a/entry/src/main/java/org/streamring/entry/peer/AttemptListener.java
+++ b/entry/src/main/java/org/streamring/entry/peer/AttemptListener.java
@@ -5,20 +5,22 @@
 import org.streamring.net.generated.Wire.End;
 import org.streamring.net.generated.Wire.Refused;
 
-/** Told what becomes of one attempt. After {@code ended}, {@code refused} or {@code lost} nothing more follows. */
+/**
+ * Receives the events of one attempt. No further events follow after {@code ended}, {@code refused} or {@code lost}.
+ */
 public interface AttemptListener {
-    /** Status and headers. */
+    /** Called with the status and headers of the answer. */
     void begun(Begin begin);
 
-    /** Part of the body. */
+    /** Called with a part of the body. */
     void chunk(Chunk chunk);
 
-    /** The attempt ended. */
+    /** Called when the attempt has ended. */
     void ended(End end);
 
-    /** The attempt was not forwarded and will not be. */
+    /** Called when the sidecar has refused the attempt; it was not forwarded and will not be. */
     void refused(Refused refused);
 
-    /** The connection is gone; it is not known what became of the attempt. */
+    /** Called when the connection is lost; whether the attempt ran is unknown. */
     void lost();
 }
--- a/entry/src/main/java/org/streamring/entry/peer/OpenAttempt.java
+++ b/entry/src/main/java/org/streamring/entry/peer/OpenAttempt.java
@@ -8,10 +8,10 @@
 import org.streamring.net.generated.Wire.Submit;
 import org.streamring.net.peer.PeerConnection;
 
-/** An attempt in progress at a sidecar, and what it will say about its replica. */
+/** Attempt in progress at a sidecar. Measures the service time of the replica. */
 final class OpenAttempt {
-    private static final int SERVER_ERROR = 500;
-    private static final long FEWEST_TOKENS = 4;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
+    private static final long MIN_TOKENS_TO_MEASURE = 4;
     private static final double NANOS_PER_MILLI = 1e6;
 
     private final PeerConnection connection;
@@ -23,9 +23,9 @@
     private volatile int status;
 
     /**
-     * Creates one.
+     * Creates an open attempt.
      *
-     * @param connection the one connection on which frames about it count
+     * @param connection connection that the attempt was sent on; frames about it on other connections are dropped
      */
     OpenAttempt(PeerConnection connection, Submit submit, AttemptListener listener) {
         this.connection = connection;
@@ -41,7 +41,7 @@
         return listener;
     }
 
-    void cancelled() {
+    void markCancelled() {
         cancelled = true;
     }
 
@@ -58,17 +58,19 @@
     }
 
     /**
-     * Milliseconds per token after the first, or of the whole call of a plain service; empty where the time says
-     * nothing about the replica: answers in one piece, kept answers, short ones.
+     * Returns the milliseconds per token after the first, or the duration of the whole call of a plain service. Returns
+     * empty if the time does not describe the speed of the replica: for answers that are not streamed, kept answers and
+     * short answers.
      */
-    OptionalDouble pace(End end) {
+    OptionalDouble serviceTimeMillis(End end) {
         if (submit.getKeepAnswer() || result(end) != AttemptResult.SERVED) {
             return OptionalDouble.empty();
         }
         if (!submit.getModel()) {
             return OptionalDouble.of(millisSince(startNanos));
         }
-        boolean measurable = submit.getStream() && end.getAnswerTokens() >= FEWEST_TOKENS && firstChunkNanos != 0;
+        boolean measurable =
+                submit.getStream() && end.getAnswerTokens() >= MIN_TOKENS_TO_MEASURE && firstChunkNanos != 0;
         return measurable
                 ? OptionalDouble.of(millisSince(firstChunkNanos) / (end.getAnswerTokens() - 1))
                 : OptionalDouble.empty();
@@ -78,11 +80,11 @@
         return (System.nanoTime() - nanos) / NANOS_PER_MILLI;
     }
 
-    /** A server error is an answer to the caller, but a failure of the replica. */
+    /** Returns the result for the replica. A server error is an answer to the caller, but a failure of the replica. */
     AttemptResult result(End end) {
         if (cancelled) {
             return AttemptResult.INCONCLUSIVE;
         }
-        return end.getComplete() && status < SERVER_ERROR ? AttemptResult.SERVED : AttemptResult.FAILED;
+        return end.getComplete() && status < MIN_SERVER_ERROR_STATUS ? AttemptResult.SERVED : AttemptResult.FAILED;
     }
 }
--- a/entry/src/main/java/org/streamring/entry/peer/ReceiptQueries.java
+++ b/entry/src/main/java/org/streamring/entry/peer/ReceiptQueries.java
@@ -17,33 +17,33 @@
 import org.streamring.net.generated.Wire.ReceiptReply;
 import org.streamring.net.peer.PeerConnection;
 
-/** Questions to sidecars for their receipts. A question whose connection is lost is cancelled. */
+/** Queries for receipts that were sent to sidecars. A query is cancelled if its connection is lost. */
 final class ReceiptQueries {
-    private final Map<Long, Open> queries = new ConcurrentHashMap<>();
-    private final AtomicLong counter = new AtomicLong();
+    private final Map<Long, PendingQuery> queries = new ConcurrentHashMap<>();
+    private final AtomicLong queryCounter = new AtomicLong();
 
-    private record Open(PeerConnection connection, CompletableFuture<List<Receipt>> answer) {}
+    private record PendingQuery(PeerConnection connection, CompletableFuture<List<Receipt>> answer) {}
 
     CompletableFuture<List<Receipt>> fence(Optional<PeerConnection> sidecar, String entryIncarnation) {
-        return ask(sidecar, query -> Frame.newBuilder()
+        return sendQuery(sidecar, query -> Frame.newBuilder()
                 .setFenceQuery(FenceQuery.newBuilder().setQuery(query).setEntryIncarnation(entryIncarnation))
                 .build());
     }
 
     CompletableFuture<List<Receipt>> receipts(Optional<PeerConnection> sidecar, Collection<String> attempts) {
-        return ask(sidecar, query -> Frame.newBuilder()
+        return sendQuery(sidecar, query -> Frame.newBuilder()
                 .setReceiptQuery(ReceiptQuery.newBuilder().setQuery(query).addAllAttempts(attempts))
                 .build());
     }
 
-    private CompletableFuture<List<Receipt>> ask(Optional<PeerConnection> sidecar, LongFunction<Frame> toFrame) {
+    private CompletableFuture<List<Receipt>> sendQuery(Optional<PeerConnection> sidecar, LongFunction<Frame> toFrame) {
         CompletableFuture<List<Receipt>> answer = new CompletableFuture<>();
         if (sidecar.isEmpty()) {
             answer.cancel(false);
             return answer;
         }
-        long query = counter.incrementAndGet();
-        queries.put(query, new Open(sidecar.get(), answer));
+        long query = queryCounter.incrementAndGet();
+        queries.put(query, new PendingQuery(sidecar.get(), answer));
         if (!sidecar.get().send(toFrame.apply(query))) {
             queries.remove(query);
             answer.cancel(false);
@@ -51,13 +51,13 @@
         return answer;
     }
 
-    /** Takes in an answer; false if nobody asked. */
-    boolean answered(ReceiptReply reply) {
-        Open open = queries.remove(reply.getQuery());
-        if (open == null) {
+    /** Completes the query that an answer belongs to; returns false if there is no such query. */
+    boolean complete(ReceiptReply reply) {
+        PendingQuery pending = queries.remove(reply.getQuery());
+        if (pending == null) {
             return false;
         }
-        open.answer()
+        pending.answer()
                 .complete(reply.getReceiptsList().stream()
                         .map(ReceiptQueries::toReceipt)
                         .toList());
@@ -65,9 +65,9 @@
     }
 
     void connectionLost(PeerConnection lost) {
-        queries.forEach((query, open) -> {
-            if (open.connection() == lost && queries.remove(query, open)) {
-                open.answer().cancel(false);
+        queries.forEach((query, pending) -> {
+            if (pending.connection() == lost && queries.remove(query, pending)) {
+                pending.answer().cancel(false);
             }
         });
     }
--- a/entry/src/main/java/org/streamring/entry/peer/SidecarLinks.java
+++ b/entry/src/main/java/org/streamring/entry/peer/SidecarLinks.java
@@ -35,14 +35,17 @@
 import org.streamring.net.peer.PeerIdentity;
 import org.streamring.net.peer.PeerListener;
 
-/** The connections of an entry to the sidecars in its subset, and the attempts open on them. */
+/** Connections of an entry to the sidecars in its subset, and the attempts that are open on them. */
 public final class SidecarLinks {
     private static final Logger LOGGER = LoggerFactory.getLogger(SidecarLinks.class);
 
-    /** With 117 bytes on the wire for a heartbeat and its answer, about 1 KB/s at the default interval of 2 s. */
-    private static final int MAX_PINGS = 17;
+    /**
+     * Limits heartbeats to about 1 KB/s at the default interval of 2 s; a heartbeat and its answer take 117 bytes on
+     * the wire.
+     */
+    private static final int MAX_HEARTBEATS_PER_CALL = 17;
 
-    private static final long LONGEST_ANSWER_MILLIS = 10_000;
+    private static final long HEARTBEAT_TIMEOUT_MILLIS = 10_000;
 
     private final EventLoopGroup loops;
     private final FleetKey fleetKey;
@@ -52,19 +55,19 @@
     private final Map<String, Link> links = new ConcurrentHashMap<>();
     private final Map<String, OpenAttempt> attempts = new ConcurrentHashMap<>();
     private final ReceiptQueries queries = new ReceiptQueries();
-    private final AtomicLong pings = new AtomicLong();
+    private final AtomicLong heartbeatSequence = new AtomicLong();
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
 
-    /** Told of sidecars that come and go, on an event loop. */
+    /** Receives connection events of sidecars, on an event loop. */
     public interface Listener {
-        /** A sidecar has proved who it is. */
+        /** Called when a sidecar has connected and authenticated itself. */
         void sidecarConnected(String incarnation);
 
-        /** A sidecar's connection is gone. */
+        /** Called when the connection to a sidecar is closed. */
         void sidecarDisconnected(String incarnation);
     }
 
-    /** Creates one without connections. */
+    /** Creates an instance without connections. */
     public SidecarLinks(
             EventLoopGroup loops, FleetKey fleetKey, PeerIdentity own, ReplicaTable replicas, MeterRegistry metrics) {
         this.loops = loops;
@@ -77,17 +80,20 @@
     }
 
     /** Adds a listener. */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Connects to the servers of the subset, and drops connections to others that have none open. */
-    public void relist(Collection<BackendServer> subset) {
+    /**
+     * Connects to the servers of the subset, and closes the connections to servers that are not in it or whose address
+     * has changed.
+     */
+    public void updateSubset(Collection<BackendServer> subset) {
         Map<String, BackendServer> wanted = new HashMap<>();
         subset.forEach(server -> wanted.put(server.name(), server));
         links.forEach((name, link) -> {
             BackendServer server = wanted.get(name);
-            if (server == null || !link.isAt(server)) {
+            if (server == null || !link.hasAddressOf(server)) {
                 links.remove(name);
                 link.connector.stop();
             }
@@ -95,7 +101,7 @@
         wanted.values().forEach(this::connect);
     }
 
-    /** Connects to a server, if no connection is kept yet. */
+    /** Connects to a server, unless a connection to it is already maintained. */
     public void connect(BackendServer server) {
         links.computeIfAbsent(server.name(), name -> {
             Link link = new Link(server);
@@ -104,7 +110,7 @@
         });
     }
 
-    /** Incarnation of a connected sidecar. */
+    /** Returns the incarnation of a connected sidecar; empty if it is not connected. */
     public Optional<String> incarnationOf(String name) {
         return connection(name).map(connection -> connection.remote().incarnation());
     }
@@ -120,12 +126,12 @@
                 .findFirst();
     }
 
-    /** Whether a sidecar of this incarnation is connected. */
+    /** Returns whether a sidecar of this incarnation is connected. */
     public boolean isConnected(String incarnation) {
         return connectionTo(incarnation).isPresent();
     }
 
-    /** Incarnations of the connected sidecars. */
+    /** Returns the incarnations of the connected sidecars. */
     public List<String> connectedIncarnations() {
         return links.values().stream()
                 .flatMap(link -> link.connection.stream())
@@ -133,7 +139,7 @@
                 .toList();
     }
 
-    /** Whether a server has a live connection. */
+    /** Returns whether the sidecar of a server is connected. */
     public boolean hasConnection(String name) {
         return connection(name).isPresent();
     }
@@ -141,7 +147,7 @@
     /**
      * Submits an attempt.
      *
-     * @return false if it was certainly not sent
+     * @return false if the attempt was certainly not sent
      */
     public boolean submit(String sidecar, Submit submit, AttemptListener listener) {
         Optional<PeerConnection> connection = connection(sidecar)
@@ -159,11 +165,11 @@
         return false;
     }
 
-    /** Asks that an attempt be cancelled; its end is still told. */
+    /** Requests the cancellation of an attempt; its end is still reported to the listener. */
     public void cancel(String attempt) {
         OpenAttempt open = attempts.get(attempt);
         if (open != null) {
-            open.cancelled();
+            open.markCancelled();
             open.connection()
                     .send(Frame.newBuilder()
                             .setCancel(Cancel.newBuilder().setAttempt(attempt))
@@ -171,22 +177,28 @@
         }
     }
 
-    /** Attempts in progress. */
+    /** Returns the number of attempts in progress. */
     public int openAttempts() {
         return attempts.size();
     }
 
-    /** Fences an entry at a sidecar and asks for its receipts. */
+    /**
+     * Fences an entry at a sidecar and queries the sidecar for the receipts of that entry. The returned future is
+     * cancelled if the sidecar is not connected or its connection is lost.
+     */
     public CompletableFuture<List<Receipt>> fence(String sidecarIncarnation, String entryIncarnation) {
         return queries.fence(connectionTo(sidecarIncarnation), entryIncarnation);
     }
 
-    /** Asks for the receipts of single attempts. */
+    /**
+     * Queries a sidecar for the receipts of single attempts. The returned future is cancelled if the sidecar is not
+     * connected or its connection is lost.
+     */
     public CompletableFuture<List<Receipt>> receipts(String sidecarIncarnation, Collection<String> attemptIds) {
         return queries.receipts(connectionTo(sidecarIncarnation), attemptIds);
     }
 
-    /** Tells all sidecars that leases are settled. */
+    /** Notifies all connected sidecars that leases are settled. */
     public void leasesSettled(Collection<String> leaseIds) {
         if (leaseIds.isEmpty()) {
             return;
@@ -198,26 +210,25 @@
     }
 
     /**
-     * Sends heartbeats, with the configuration version and what operators want of each server, to the sidecars that
-     * were
-     * not heard of for longest. Their number per call is bounded, so that control traffic stays bounded however many
-     * sidecars are connected; answers of requests count as signs of life. A sidecar that leaves a heartbeat
-     * unanswered is
-     * taken for lost.
+     * Sends heartbeats with the configuration version and the order of the operators for each server, to the sidecars
+     * without activity for the longest time. The number of heartbeats per call is bounded, so that control traffic is
+     * bounded for any number of connected sidecars; every frame received counts as a sign of life. The connection to a
+     * sidecar that leaves a heartbeat unanswered is closed.
      */
-    public void ping(long configVersion, Map<String, String> orders) {
+    public void sendHeartbeats(long configVersion, Map<String, String> orders) {
         long now = now();
         links.values().stream()
                 .filter(link -> link.connection.isPresent())
-                .sorted(Comparator.comparingLong(link -> link.quietSince(configVersion)))
-                .limit(MAX_PINGS)
-                .forEach(link -> link.ping(configVersion, orders.getOrDefault(link.server.name(), "start"), now));
+                .sorted(Comparator.comparingLong(link -> link.lastActivityMillis(configVersion)))
+                .limit(MAX_HEARTBEATS_PER_CALL)
+                .forEach(link ->
+                        link.sendHeartbeat(configVersion, orders.getOrDefault(link.server.name(), "start"), now));
         links.values().stream()
-                .filter(link -> link.unanswered(now))
+                .filter(link -> link.heartbeatTimedOut(now))
                 .forEach(link -> link.connection.ifPresent(PeerConnection::close));
     }
 
-    /** Closes everything. */
+    /** Closes all connections. */
     public void close() {
         links.values().forEach(link -> link.connector.stop());
     }
@@ -230,9 +241,9 @@
         private final BackendServer server;
         private final PeerConnector connector;
         private volatile Optional<PeerConnection> connection = Optional.empty();
-        private volatile long heardMillis;
-        private volatile long pingedMillis;
-        private volatile long toldVersion;
+        private volatile long lastReceivedMillis;
+        private volatile long heartbeatSentMillis;
+        private volatile long sentConfigVersion;
 
         private Link(BackendServer server) {
             this.server = server;
@@ -240,30 +251,33 @@
                     new PeerConnector(loops, new InetSocketAddress(server.host(), server.port()), fleetKey, own, this);
         }
 
-        /** Those that do not know the newest version come first. */
-        private long quietSince(long configVersion) {
-            return toldVersion < configVersion ? 0 : Math.max(heardMillis, pingedMillis);
+        /**
+         * Returns the time of the last activity, or 0 if the newest configuration version was not sent on this
+         * connection, so that such a sidecar comes first.
+         */
+        private long lastActivityMillis(long configVersion) {
+            return sentConfigVersion < configVersion ? 0 : Math.max(lastReceivedMillis, heartbeatSentMillis);
         }
 
-        private boolean unanswered(long now) {
-            return heardMillis < pingedMillis && now - pingedMillis > LONGEST_ANSWER_MILLIS;
+        private boolean heartbeatTimedOut(long now) {
+            return lastReceivedMillis < heartbeatSentMillis && now - heartbeatSentMillis > HEARTBEAT_TIMEOUT_MILLIS;
         }
 
-        private void ping(long configVersion, String order, long now) {
-            if (heardMillis >= pingedMillis) {
-                pingedMillis = now;
+        private void sendHeartbeat(long configVersion, String order, long now) {
+            if (lastReceivedMillis >= heartbeatSentMillis) {
+                heartbeatSentMillis = now;
             }
-            toldVersion = configVersion;
+            sentConfigVersion = configVersion;
             Frame frame = Frame.newBuilder()
                     .setPing(Ping.newBuilder()
-                            .setSequence(pings.incrementAndGet())
+                            .setSequence(heartbeatSequence.incrementAndGet())
                             .setConfigVersion(configVersion)
                             .setOrder(order))
                     .build();
             connection.ifPresent(open -> open.send(frame));
         }
 
-        private boolean isAt(BackendServer listed) {
+        private boolean hasAddressOf(BackendServer listed) {
             return listed.host().equals(server.host()) && listed.port() == server.port();
         }
 
@@ -277,8 +291,8 @@
                 opened.close();
                 return;
             }
-            heardMillis = now();
-            toldVersion = 0;
+            lastReceivedMillis = now();
+            sentConfigVersion = 0;
             connection = Optional.of(opened);
             LOGGER.info("sidecar_connected peer={}", opened);
             String incarnation = opened.remote().incarnation();
@@ -307,7 +321,7 @@
 
         @Override
         public void received(PeerConnection from, Frame frame) {
-            heardMillis = now();
+            lastReceivedMillis = now();
             switch (frame.getBodyCase()) {
                 case BEGIN ->
                     attempt(from, frame.getBegin().getAttempt())
@@ -317,9 +331,9 @@
                             .ifPresentOrElse(open -> open.chunk(frame.getChunk()), dropped::increment);
                 case END -> ended(from, frame);
                 case REFUSED -> refused(from, frame);
-                case PONG -> reported(frame.getPong().getLoad());
+                case PONG -> recordLoad(frame.getPong().getLoad());
                 case RECEIPT_REPLY -> {
-                    if (!queries.answered(frame.getReceiptReply())) {
+                    if (!queries.complete(frame.getReceiptReply())) {
                         dropped.increment();
                     }
                 }
@@ -332,7 +346,7 @@
         }
 
         private void ended(PeerConnection from, Frame frame) {
-            reported(frame.getEnd().getLoad());
+            recordLoad(frame.getEnd().getLoad());
             String id = frame.getEnd().getAttempt();
             Optional<OpenAttempt> open = attempt(from, id);
             if (open.isEmpty() || !attempts.remove(id, open.get())) {
@@ -340,12 +354,14 @@
                 return;
             }
             replicas.ended(server.name(), open.get().result(frame.getEnd()), now());
-            open.get().pace(frame.getEnd()).ifPresent(millis -> replicas.paced(server.name(), millis, now()));
+            open.get()
+                    .serviceTimeMillis(frame.getEnd())
+                    .ifPresent(millis -> replicas.paced(server.name(), millis, now()));
             open.get().listener().ended(frame.getEnd());
         }
 
         private void refused(PeerConnection from, Frame frame) {
-            reported(frame.getRefused().getLoad());
+            recordLoad(frame.getRefused().getLoad());
             String id = frame.getRefused().getAttempt();
             Optional<OpenAttempt> open = attempt(from, id);
             if (open.isEmpty() || !attempts.remove(id, open.get())) {
@@ -357,7 +373,7 @@
             open.get().listener().refused(frame.getRefused());
         }
 
-        private void reported(Load load) {
+        private void recordLoad(Load load) {
             if (load.getCapacity() > 0) {
                 replicas.reported(
                         server.name(), new LoadReport(load.getRunning(), load.getCapacity(), load.getLeaving()));
--- a/entry/src/main/java/org/streamring/entry/peer/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Connections to sidecars: attempts, heartbeats and questions for receipts. */
+/** Connections to sidecars: attempts, heartbeats and queries for receipts. */
 @NullMarked
 package org.streamring.entry.peer;
 
