--- a/entry/src/main/java/org/streamring/entry/caller/AnswerSink.java
+++ b/entry/src/main/java/org/streamring/entry/caller/AnswerSink.java
@@ -6,24 +6,24 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.net.generated.Wire.Header;
 
-/** Where the answer to one call goes. Every call gets exactly one final answer; what comes after it is dropped. */
+/** Receives the answer to one call. Each call gets exactly one final answer; anything after it is dropped. */
 public interface AnswerSink {
-    /** Status and headers of the backend server's answer. */
+    /** Forwards the status and headers of the backend server's answer. */
     void begin(int status, List<Header> headers);
 
-    /** Part of the answer's body. */
+    /** Forwards a part of the answer's body. */
     void chunk(ByteString data);
 
-    /** The answer is whole. */
+    /** Completes the answer. */
     void complete();
 
-    /** The call was refused before it ran. */
+    /** Refuses the call before it was run. */
     void refuse(Refusal refusal);
 
     /**
-     * The answer is not whole, or it is not known whether the call ran.
+     * Fails the call because the answer is incomplete or it is unknown whether the call ran.
      *
-     * @param outcome what is known
+     * @param outcome outcome as far as it is known
      * @param message one sentence for the caller
      */
     void fail(Outcome outcome, String message);
--- a/entry/src/main/java/org/streamring/entry/caller/Call.java
+++ b/entry/src/main/java/org/streamring/entry/caller/Call.java
@@ -7,16 +7,16 @@
 import org.streamring.net.generated.Wire.Header;
 
 /**
- * One call of a caller, as HTTP delivered it.
+ * HTTP request of a caller.
  *
  * @param method HTTP method
  * @param path path with query
- * @param headers end-to-end headers, without those meant for the entry
+ * @param headers end-to-end headers, without those addressed to the entry
  * @param body body
  * @param accountKey key of the client account; empty if none was sent
  * @param idempotencyKey identifier from the caller
  * @param notRepeatable whether the caller marked the call as not repeatable
- * @param deadline time the caller gives it
+ * @param deadline time limit set by the caller
  */
 public record Call(
         String method,
--- a/entry/src/main/java/org/streamring/entry/caller/CallAggregator.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallAggregator.java
@@ -8,23 +8,23 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.model.request.RefusalReason;
 
-/** Gathers a call's body up to a limit; a larger one is refused in the ordinary form. */
+/** Aggregates a call's body up to a limit. A larger body is refused with the standard error answer. */
 final class CallAggregator extends HttpObjectAggregator {
     private final int maxBodyBytes;
-    private final SlowCallGuard guard;
+    private final CallTimeoutHandler timeoutHandler;
 
-    CallAggregator(int maxBodyBytes, SlowCallGuard guard) {
+    CallAggregator(int maxBodyBytes, CallTimeoutHandler timeoutHandler) {
         super(maxBodyBytes);
         this.maxBodyBytes = maxBodyBytes;
-        this.guard = guard;
+        this.timeoutHandler = timeoutHandler;
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-        guard.callArrived();
+        timeoutHandler.stopTimer();
         HttpAnswer answer =
                 new HttpAnswer(context.channel(), false, UUID.randomUUID().toString());
-        answer.refuse(Refusal.of(RefusalReason.TOO_LARGE, "the body is larger than " + maxBodyBytes + " bytes"));
+        answer.refuse(Refusal.of(RefusalReason.TOO_LARGE, "the body exceeds " + maxBodyBytes + " bytes"));
         context.channel().closeFuture().addListener(ChannelFutureListener.CLOSE);
     }
 }
--- a/entry/src/main/java/org/streamring/entry/caller/CallHandler.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallHandler.java
@@ -24,10 +24,10 @@
 import org.streamring.net.generated.Wire.Header;
 import org.streamring.net.process.ArrivedBytes;
 
-/** Turns HTTP requests of one connection into calls, one after the other. */
+/** Converts the HTTP requests of one connection into calls, one at a time. */
 final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final Logger LOGGER = LoggerFactory.getLogger(CallHandler.class);
-    private static final Pattern KEY = Pattern.compile("[A-Za-z0-9._:~-]{1,128}");
+    private static final Pattern VALID_IDEMPOTENCY_KEY = Pattern.compile("[A-Za-z0-9._:~-]{1,128}");
     private static final Set<String> NOT_FORWARDED = Set.of(
             "host",
             "connection",
@@ -43,31 +43,31 @@
             "streamring-not-repeatable");
 
     private final CallReceiver receiver;
-    private final SlowCallGuard guard;
-    private Runnable onCallerGone = CallHandler::nothing;
+    private final CallTimeoutHandler timeoutHandler;
+    private Runnable onCallerGone = CallHandler::noOp;
     private @Nullable HttpAnswer current;
-    private @Nullable FullHttpRequest arrived;
+    private @Nullable FullHttpRequest pendingRequest;
 
-    CallHandler(CallReceiver receiver, SlowCallGuard guard) {
+    CallHandler(CallReceiver receiver, CallTimeoutHandler timeoutHandler) {
         this.receiver = receiver;
-        this.guard = guard;
+        this.timeoutHandler = timeoutHandler;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-        guard.callArrived();
-        if (arrived != null || (current != null && !current.isDone())) {
-            // Pipelined calls could get each other's answers.
+        timeoutHandler.stopTimer();
+        if (pendingRequest != null || (current != null && !current.isDone())) {
+            // The answers to pipelined calls could be mixed up.
             context.close();
             return;
         }
-        arrived = request.retain();
+        pendingRequest = request.retain();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        FullHttpRequest request = arrived;
-        arrived = null;
+        FullHttpRequest request = pendingRequest;
+        pendingRequest = null;
         if (request == null) {
             return;
         }
@@ -89,7 +89,7 @@
         HttpAnswer answer = new HttpAnswer(context.channel(), keepAlive, requestId);
         current = answer;
         if (!request.decoderResult().isSuccess()) {
-            answer.refuse(unreadable(request.decoderResult().cause()));
+            answer.refuse(refusalOf(request.decoderResult().cause()));
             return;
         }
         try {
@@ -100,7 +100,7 @@
         }
     }
 
-    private static Refusal unreadable(@Nullable Throwable cause) {
+    private static Refusal refusalOf(@Nullable Throwable cause) {
         if (cause instanceof TooLongFrameException) {
             return Refusal.of(RefusalReason.HEADERS_TOO_LARGE, "the request line or headers are too large");
         }
@@ -110,8 +110,9 @@
     private static Call toCall(FullHttpRequest request) throws RefusedException {
         HttpHeaders headers = request.headers();
         Optional<String> key = Optional.ofNullable(headers.get(CallHeaders.IDEMPOTENCY_KEY));
-        if (key.isPresent() && !KEY.matcher(key.get()).matches()) {
-            throw bad(CallHeaders.IDEMPOTENCY_KEY + " must be 1 to 128 of A-Z, a-z, 0-9, '.', '_', ':', '~' and '-'");
+        if (key.isPresent() && !VALID_IDEMPOTENCY_KEY.matcher(key.get()).matches()) {
+            throw badRequest(
+                    CallHeaders.IDEMPOTENCY_KEY + " must be 1 to 128 of A-Z, a-z, 0-9, '.', '_', ':', '~' and '-'");
         }
         return new Call(
                 request.method().name(),
@@ -144,7 +145,7 @@
         } catch (NumberFormatException e) {
             LOGGER.trace("deadline header is not a number", e);
         }
-        throw bad(CallHeaders.DEADLINE_MILLIS + " must be a whole number of milliseconds above 0");
+        throw badRequest(CallHeaders.DEADLINE_MILLIS + " must be a whole number of milliseconds above 0");
     }
 
     private static List<Header> forwarded(HttpHeaders headers) {
@@ -160,11 +161,11 @@
         return forwarded;
     }
 
-    private static RefusedException bad(String message) {
+    private static RefusedException badRequest(String message) {
         return new RefusedException(Refusal.of(RefusalReason.BAD_REQUEST, message));
     }
 
-    private static void nothing() {}
+    private static void noOp() {}
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
--- a/entry/src/main/java/org/streamring/entry/caller/CallHeaders.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallHeaders.java
@@ -1,6 +1,6 @@
 package org.streamring.entry.caller;
 
-/** Names of the HTTP headers that have a meaning for the entry. */
+/** Names and prefixes of the HTTP headers that the entry reads or sets. */
 public final class CallHeaders {
     public static final String AUTHORIZATION = "Authorization";
     public static final String BEARER = "Bearer ";
--- a/entry/src/main/java/org/streamring/entry/caller/CallReceiver.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallReceiver.java
@@ -1,12 +1,13 @@
 package org.streamring.entry.caller;
 
-/** Takes calls, on a caller's event loop; must not block. */
+/** Receives calls on the event loop of the caller's connection; must not block. */
 public interface CallReceiver {
     /**
-     * Takes a call.
+     * Receives a call.
      *
-     * @param requestId identifier given to it
-     * @return told when the caller goes away
+     * @param requestId identifier assigned to the call
+     * @param sink receives the answer
+     * @return action to run when the caller closes its connection
      */
     Runnable receive(String requestId, Call call, AnswerSink sink);
 }
--- a/entry/src/main/java/org/streamring/entry/caller/SlowCallGuard.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallTimeoutHandler.java
@@ -11,22 +11,23 @@
 import org.streamring.model.request.RefusalReason;
 
 /**
- * Refuses calls that do not arrive whole in time, so that slow senders hold no memory. Stands before the HTTP codec, as
- * headers may be what does not come. A connection on which nothing was sent is closed without an answer.
+ * Refuses calls that are not received completely within a time limit, so that slow senders can't occupy memory. This
+ * handler precedes the HTTP codec in the pipeline, because the headers may be the missing part. A connection on which
+ * nothing was received is closed without an answer.
  */
-final class SlowCallGuard extends ChannelInboundHandlerAdapter {
-    private final Duration wholeCall;
+final class CallTimeoutHandler extends ChannelInboundHandlerAdapter {
+    private final Duration callTimeout;
     private @Nullable ScheduledFuture<?> timer;
-    private boolean begun;
+    private boolean bytesReceived;
 
     /**
-     * Creates one for one connection.
+     * Creates a handler for one connection.
      *
-     * @param wholeCall longest time from the opening of the connection, or from the first byte of a later call, to the
-     *     call's last byte
+     * @param callTimeout longest time from the opening of the connection, or from the first byte of a later call, until
+     *     the last byte of the call
      */
-    SlowCallGuard(Duration wholeCall) {
-        this.wholeCall = wholeCall;
+    CallTimeoutHandler(Duration callTimeout) {
+        this.callTimeout = callTimeout;
     }
 
     @Override
@@ -37,7 +38,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) throws Exception {
-        begun = true;
+        bytesReceived = true;
         if (timer == null) {
             startTimer(context);
         }
@@ -46,28 +47,29 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
-        callArrived();
+        stopTimer();
         super.channelInactive(context);
     }
 
     private void startTimer(ChannelHandlerContext context) {
-        timer = context.executor().schedule(() -> tooSlow(context), wholeCall.toMillis(), TimeUnit.MILLISECONDS);
+        timer = context.executor().schedule(() -> timeOut(context), callTimeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void tooSlow(ChannelHandlerContext context) {
-        if (!begun) {
+    private void timeOut(ChannelHandlerContext context) {
+        if (!bytesReceived) {
             context.close();
             return;
         }
         HttpAnswer answer =
                 new HttpAnswer(context.channel(), false, UUID.randomUUID().toString());
         answer.refuse(Refusal.of(
-                RefusalReason.CALL_TOO_SLOW, "the call did not arrive whole within " + wholeCall.toMillis() + " ms"));
+                RefusalReason.CALL_TOO_SLOW,
+                "the call was not received completely within " + callTimeout.toMillis() + " ms"));
     }
 
-    /** A call is whole, or was answered without being whole. */
-    void callArrived() {
-        begun = false;
+    /** Stops the timer, after a call was received completely or was answered before that. */
+    void stopTimer() {
+        bytesReceived = false;
         if (timer != null) {
             timer.cancel(false);
             timer = null;
--- a/entry/src/main/java/org/streamring/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallerServer.java
@@ -7,7 +7,7 @@
 import org.streamring.net.peer.PeerException;
 import org.streamring.net.process.Listening;
 
-/** Listens for callers. */
+/** HTTP server that accepts the connections of callers. */
 public final class CallerServer {
     private static final int MAX_LINE_BYTES = 8192;
     private static final int MAX_HEADER_BYTES = 16_384;
@@ -18,33 +18,33 @@
     /**
      * Starts to listen.
      *
-     * @param maxBodyBytes largest body accepted
-     * @param wholeCall longest time that a call may take to arrive
+     * @param maxBodyBytes size limit of a body, in bytes
+     * @param callTimeout longest time from the start of a call until its last byte is received
      */
     public CallerServer(
             EventLoopGroup loops,
             InetSocketAddress address,
             int maxBodyBytes,
-            Duration wholeCall,
+            Duration callTimeout,
             CallReceiver receiver)
             throws PeerException {
         listening = new Listening(loops, address, accepted -> {
-            SlowCallGuard guard = new SlowCallGuard(wholeCall);
+            CallTimeoutHandler timeoutHandler = new CallTimeoutHandler(callTimeout);
             accepted.pipeline()
                     .addLast(
-                            guard,
+                            timeoutHandler,
                             new HttpServerCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
-                            new CallAggregator(maxBodyBytes, guard),
-                            new CallHandler(receiver, guard));
+                            new CallAggregator(maxBodyBytes, timeoutHandler),
+                            new CallHandler(receiver, timeoutHandler));
         });
     }
 
-    /** Port in use. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return listening.port();
     }
 
-    /** Takes no new connections. */
+    /** Stops accepting connections. */
     public void close() {
         listening.close();
     }
--- a/entry/src/main/java/org/streamring/entry/caller/ErrorBody.java
+++ b/entry/src/main/java/org/streamring/entry/caller/ErrorBody.java
@@ -6,7 +6,7 @@
 import org.streamring.model.request.Outcome;
 import org.streamring.model.request.RefusalReason;
 
-/** Error bodies in the OpenAI-compatible form. */
+/** Creates error bodies in the OpenAI-compatible form. */
 final class ErrorBody {
     private static final JsonMapper MAPPER = new JsonMapper();
 
--- a/entry/src/main/java/org/streamring/entry/caller/HttpAnswer.java
+++ b/entry/src/main/java/org/streamring/entry/caller/HttpAnswer.java
@@ -25,13 +25,13 @@
 import org.streamring.net.generated.Wire.Header;
 
 /**
- * Writes one answer to a caller's connection. A streamed answer is passed on as it comes and ends with an event that
- * tells the outcome; any other is gathered first, so that the outcome stands in its headers.
+ * Writes one answer to a caller's connection. A streamed answer is forwarded as it arrives and ends with an event that
+ * contains the outcome. Any other answer is buffered completely, so that its headers can contain the outcome.
  */
 final class HttpAnswer implements AnswerSink {
     private static final int OK = 200;
     private static final int BAD_GATEWAY = 502;
-    private static final long MILLIS = 1000;
+    private static final long MILLIS_PER_SECOND = 1000;
     private static final long MAX_PENDING_BYTES = 4L << 20;
     private static final Set<String> HOP_BY_HOP =
             Set.of("connection", "content-length", "transfer-encoding", "keep-alive", "upgrade", "trailer", "te");
@@ -41,7 +41,7 @@
     private final String requestId;
     private int status;
     private List<Header> headers = List.of();
-    private ByteString gathered = ByteString.EMPTY;
+    private ByteString bufferedBody = ByteString.EMPTY;
     private boolean streaming;
     private boolean done;
 
@@ -51,7 +51,7 @@
         this.requestId = requestId;
     }
 
-    /** Whether the final answer was given. */
+    /** Returns whether the final answer was given. */
     synchronized boolean isDone() {
         return done;
     }
@@ -92,12 +92,12 @@
             return;
         }
         if (!streaming) {
-            gathered = gathered.concat(data);
+            bufferedBody = bufferedBody.concat(data);
             return;
         }
         ChannelOutboundBuffer pending = channel.unsafe().outboundBuffer();
         if (pending != null && pending.totalPendingWriteBytes() > MAX_PENDING_BYTES) {
-            // The caller reads too slowly to be waited for; closing makes the request be cancelled.
+            // The caller reads too slowly and its buffer limit is reached. Closing the connection cancels the request.
             channel.close();
             return;
         }
@@ -113,7 +113,7 @@
         if (streaming) {
             endStream(outcomeEvent(Outcome.ANSWERED));
         } else {
-            writeWhole(status, Outcome.ANSWERED, 0, Unpooled.wrappedBuffer(gathered.asReadOnlyByteBuffer()));
+            writeFullResponse(status, Outcome.ANSWERED, 0, Unpooled.wrappedBuffer(bufferedBody.asReadOnlyByteBuffer()));
         }
     }
 
@@ -124,7 +124,7 @@
         }
         done = true;
         long retryAfter = refusal.reason().retryHelps()
-                ? Math.max(1, (refusal.retryAfter().toMillis() + MILLIS - 1) / MILLIS)
+                ? Math.max(1, (refusal.retryAfter().toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)
                 : 0;
         String body = ErrorBody.refusal(refusal.reason(), refusal.message(), requestId);
         writeJson(refusal.reason().status(), Outcome.NOT_RUN, retryAfter, body);
@@ -158,10 +158,10 @@
                 .setName("Content-Type")
                 .setValue("application/json")
                 .build());
-        writeWhole(code, outcome, retryAfterSeconds, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        writeFullResponse(code, outcome, retryAfterSeconds, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
     }
 
-    private void writeWhole(int code, Outcome outcome, long retryAfterSeconds, ByteBuf body) {
+    private void writeFullResponse(int code, Outcome outcome, long retryAfterSeconds, ByteBuf body) {
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(code), body);
         addHeaders(response.headers());
--- a/entry/src/main/java/org/streamring/entry/caller/ModelCall.java
+++ b/entry/src/main/java/org/streamring/entry/caller/ModelCall.java
@@ -10,9 +10,7 @@
 import org.streamring.model.request.Refusal;
 import org.streamring.model.request.RefusalReason;
 
-/**
- * A call in the OpenAI-compatible form, read and bounded. Fields that the entry does not know are passed on.
- */
+/** Parsed call of a model in the OpenAI-compatible form. Fields that the entry does not use are forwarded unchanged. */
 public final class ModelCall {
     private static final JsonMapper MAPPER = new JsonMapper();
     private static final String STREAM_OPTIONS = "stream_options";
@@ -26,21 +24,25 @@
         this.bodyBytes = bodyBytes;
     }
 
-    /** Reads a body. */
+    /**
+     * Parses a body.
+     *
+     * @throws RefusedException if the body is not a valid call
+     */
     public static ModelCall parse(byte[] bytes) throws RefusedException {
         try {
             JsonNode node = MAPPER.readTree(bytes);
             if (!(node instanceof ObjectNode object) || !object.path("model").isTextual()) {
-                throw bad("the body must be a JSON object with a text field \"model\"");
+                throw badRequest("the body must be a JSON object with a text field \"model\"");
             }
             if (!hasPrompt(object)) {
-                throw bad("the body must have a list \"messages\" that is not empty, or a \"prompt\"");
+                throw badRequest("the body must have a list \"messages\" that is not empty, or a \"prompt\"");
             }
             return new ModelCall(object, bytes.length);
         } catch (JsonProcessingException e) {
-            throw bad("the body is not JSON: " + e.getOriginalMessage());
+            throw badRequest("the body is not JSON: " + e.getOriginalMessage());
         } catch (java.io.IOException e) {
-            throw bad("the body can't be read");
+            throw badRequest("the body could not be read");
         }
     }
 
@@ -53,42 +55,42 @@
         return prompt.isTextual() || (prompt.isArray() && !prompt.isEmpty());
     }
 
-    private static RefusedException bad(String message) {
+    private static RefusedException badRequest(String message) {
         return new RefusedException(Refusal.of(RefusalReason.BAD_REQUEST, message));
     }
 
-    /** Model asked for. */
+    /** Returns the name of the requested model. */
     public String model() {
         return body.path("model").asText();
     }
 
-    /** The prompt as one text; prompts that begin alike give texts that begin alike. */
+    /** Returns the prompt as a single text. Prompts with a common beginning yield texts with a common beginning. */
     public String promptText() {
         return body.has("messages")
                 ? body.path("messages").toString()
                 : body.path("prompt").toString();
     }
 
-    /** Whether a streamed answer is asked for. */
+    /** Returns whether the caller requested a streamed answer. */
     public boolean stream() {
         return body.path("stream").asBoolean(false);
     }
 
-    /** Whether usage is asked for in a streamed answer. */
+    /** Returns whether the caller requested usage in a streamed answer. */
     public boolean showUsage() {
         return body.path(STREAM_OPTIONS).path("include_usage").asBoolean(false);
     }
 
     /**
-     * Upper bound on prompt tokens. A token stands for at least one byte of text, so the body's length bounds a
-     * prompt of
-     * text; other content may stand for anything up to what the engine accepts.
+     * Returns an upper bound on the prompt tokens. Each token represents at least one byte of text, so a text prompt
+     * has at most as many tokens as the body has bytes. Other content may amount to as many tokens as the engine
+     * accepts.
      */
     public long promptBound(ServiceDeclaration service) {
-        return onlyText() ? Math.min(bodyBytes, service.contextTokens()) : service.contextTokens();
+        return isTextOnly() ? Math.min(bodyBytes, service.contextTokens()) : service.contextTokens();
     }
 
-    private boolean onlyText() {
+    private boolean isTextOnly() {
         for (JsonNode message : body.path("messages")) {
             JsonNode content = message.path("content");
             if (content.isArray()) {
@@ -102,36 +104,44 @@
         return true;
     }
 
-    /** Most tokens that the answer may have, over all choices. */
+    /**
+     * Returns the most tokens that the answer may have, summed over all choices.
+     *
+     * @throws RefusedException if a limit in the call is not valid
+     */
     public long answerBound(ServiceDeclaration service) throws RefusedException {
-        long choices = Math.max(number("n").orElse(1L), number("best_of").orElse(1L));
+        long choices = Math.max(
+                positiveInteger("n").orElse(1L), positiveInteger("best_of").orElse(1L));
         if (choices > MAX_CHOICES) {
-            throw bad("\"n\" and \"best_of\" may be at most " + MAX_CHOICES);
+            throw badRequest("\"n\" and \"best_of\" may be at most " + MAX_CHOICES);
         }
-        return choices * perChoice(service);
+        return choices * maxTokensPerChoice(service);
     }
 
-    private long perChoice(ServiceDeclaration service) throws RefusedException {
-        Optional<Long> newer = number("max_completion_tokens");
-        Optional<Long> older = number("max_tokens");
-        return newer.or(() -> older).orElse((long) service.answerTokens());
+    private long maxTokensPerChoice(ServiceDeclaration service) throws RefusedException {
+        Optional<Long> completionLimit = positiveInteger("max_completion_tokens");
+        Optional<Long> legacyLimit = positiveInteger("max_tokens");
+        return completionLimit.or(() -> legacyLimit).orElse((long) service.answerTokens());
     }
 
-    private Optional<Long> number(String field) throws RefusedException {
+    private Optional<Long> positiveInteger(String field) throws RefusedException {
         JsonNode node = body.path(field);
         if (node.isMissingNode() || node.isNull()) {
             return Optional.empty();
         }
         if (!node.canConvertToLong() || !node.isIntegralNumber() || node.asLong() < 1) {
-            throw bad("\"" + field + "\" must be a whole number of at least 1");
+            throw badRequest("\"" + field + "\" must be a whole number of at least 1");
         }
         return Optional.of(node.asLong());
     }
 
-    /** The body as it goes to the engine: with its limit written out, its rank, and usage in every event. */
+    /**
+     * Returns the body that is forwarded to the engine, with an explicit token limit, the priority rank, and, for a
+     * streamed answer, usage in every event.
+     */
     public ByteString forwardedBody(ServiceDeclaration service, int rank) throws RefusedException {
         ObjectNode forwarded = body.deepCopy();
-        forwarded.put("max_tokens", perChoice(service));
+        forwarded.put("max_tokens", maxTokensPerChoice(service));
         forwarded.put("priority", rank);
         if (stream()) {
             ObjectNode options = forwarded.withObject("/" + STREAM_OPTIONS);
--- a/entry/src/main/java/org/streamring/entry/caller/RefusedException.java
+++ b/entry/src/main/java/org/streamring/entry/caller/RefusedException.java
@@ -2,19 +2,19 @@
 
 import org.streamring.model.request.Refusal;
 
-/** A call that is refused before it ran; carries the step and what the caller is told. */
+/** Thrown when a call is refused before it is run; contains the refusal that is sent to the caller. */
 public class RefusedException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient Refusal refusal;
 
-    /** Creates one. */
+    /** Creates an exception from the refusal. */
     public RefusedException(Refusal refusal) {
         super(refusal.reason().step() + ": " + refusal.message());
         this.refusal = refusal;
     }
 
-    /** What the caller is told. */
+    /** Returns the refusal that is sent to the caller. */
     public Refusal refusal() {
         return refusal;
     }
--- a/entry/src/main/java/org/streamring/entry/caller/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' side of an entry: HTTP in, parsed calls, answers out. */
+/** HTTP server of an entry: receives and parses calls and writes the answers. */
 @NullMarked
 package org.streamring.entry.caller;
 
--- a/entry/src/test/java/org/streamring/entry/caller/CallerServerTest.java
+++ b/entry/src/test/java/org/streamring/entry/caller/CallerServerTest.java
@@ -21,10 +21,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What hostile or broken senders get; everything is sent as raw bytes. */
+/** Tests the answers to malformed and slow requests, which are sent as raw bytes. */
 public class CallerServerTest {
     private static final int MAX_BODY = 1024;
-    private static final Duration WHOLE_CALL = Duration.ofMillis(1_500);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_500);
     private static final String HEAD = "POST /v1/completions HTTP/1.1\r\nHost: x\r\n";
     private static final String CHUNKED = HEAD + "Transfer-Encoding: chunked\r\n\r\n";
 
@@ -35,7 +35,7 @@
     @BeforeClass
     public void listen() throws PeerException {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        server = new CallerServer(loops, address, MAX_BODY, WHOLE_CALL, (requestId, call, sink) -> {
+        server = new CallerServer(loops, address, MAX_BODY, CALL_TIMEOUT, (requestId, call, sink) -> {
             received.add(call);
             sink.refuse(Refusal.of(RefusalReason.NO_BACKEND, "test"));
             return () -> {};
@@ -49,11 +49,11 @@
     }
 
     @BeforeMethod
-    public void forget() {
+    public void clearReceivedCalls() {
         received.clear();
     }
 
-    /** Sends bytes and returns everything that comes back until the server closes the connection. */
+    /** Sends bytes and returns everything that is received until the server closes the connection. */
     private String answerTo(String sent) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             socket.getOutputStream().write(sent.getBytes(US_ASCII));
@@ -63,25 +63,25 @@
     }
 
     @DataProvider
-    public Object[][] brokenCalls() {
+    public Object[][] badCalls() {
         return new Object[][] {
-            {"no HTTP at all", "\u0001\u0002 nonsense\r\n\r\n", 400},
+            {"bytes that are not HTTP", "\u0001\u0002 nonsense\r\n\r\n", 400},
             {"an unknown version", "GET / HTTP/x\r\n\r\n", 400},
             {"a chunk size that is no number", CHUNKED + "zz\r\nabc\r\n0\r\n\r\n", 400},
             {"a negative length", HEAD + "Content-Length: -5\r\n\r\n", 400},
             {"two lengths", HEAD + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400},
-            {"chunks beyond the limit", CHUNKED + "800\r\n" + "x".repeat(0x800) + "\r\n0\r\n\r\n", 413},
-            {"a length beyond the limit", HEAD + "Content-Length: 999999\r\n\r\n", 413},
+            {"chunks above the limit", CHUNKED + "800\r\n" + "x".repeat(0x800) + "\r\n0\r\n\r\n", 413},
+            {"a length above the limit", HEAD + "Content-Length: 999999\r\n\r\n", 413},
             {"an endless request line", "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\n\r\n", 431},
             {"endless headers", HEAD + "X: " + "x".repeat(40_000) + "\r\n\r\n", 431},
-            {"a body that does not come", HEAD + "Content-Length: 50\r\n\r\nabc", 408},
-            {"a chunk that does not come", CHUNKED + "5\r\nab", 408},
+            {"a body that is never completed", HEAD + "Content-Length: 50\r\n\r\nabc", 408},
+            {"a chunk that is never completed", CHUNKED + "5\r\nab", 408},
             {"headers that do not end", HEAD, 408},
         };
     }
 
-    @Test(dataProvider = "brokenCalls")
-    public void aBrokenCallGetsAClearErrorAndIsNotRun(String name, String sent, int status) throws IOException {
+    @Test(dataProvider = "badCalls")
+    public void aBadCallGetsAClearErrorAndIsNotRun(String name, String sent, int status) throws IOException {
         String answer = answerTo(sent);
         assertThat(answer).as(name).startsWith("HTTP/1.1 " + status + " ");
         assertThat(answer).as(name).containsIgnoringCase("streamring-outcome: not-run");
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void aWholeCallIsReceivedOnce() throws IOException {
+    public void aValidCallIsReceivedOnce() throws IOException {
         String answer = answerTo(HEAD + "Connection: close\r\nContent-Length: 4\r\n\r\nabcd");
         assertThat(answer).startsWith("HTTP/1.1 503 ");
         assertThat(received).hasSize(1);
@@ -103,9 +103,9 @@
     }
 
     @Test
-    public void aKeptConnectionThatStaysIdleIsNotAnsweredAgain() throws IOException {
+    public void aKeptAliveConnectionThatStaysIdleIsNotAnsweredAgain() throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
-            socket.setSoTimeout((int) (2 * WHOLE_CALL.toMillis()));
+            socket.setSoTimeout((int) (2 * CALL_TIMEOUT.toMillis()));
             socket.getOutputStream().write((HEAD + "Content-Length: 0\r\n\r\n").getBytes(US_ASCII));
             StringBuilder answer = new StringBuilder();
             try {
--- a/entry/src/test/java/org/streamring/entry/caller/ModelCallTest.java
+++ b/entry/src/test/java/org/streamring/entry/caller/ModelCallTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void messagesOrAPromptAreTaken() throws RefusedException {
+    public void messagesOrAPromptAreAccepted() throws RefusedException {
         assertThat(parse("{\"model\":\"m\",\"messages\":[{\"role\":\"user\"}]}").model())
                 .isEqualTo("m");
         assertThat(parse("{\"model\":\"m\",\"prompt\":\"hello\"}").model()).isEqualTo("m");
