--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 import org.streamring.entry.caller.CallerServer;
 import org.streamring.entry.config.ConfigurationPoller;
-import org.streamring.entry.config.PolicyBook;
+import org.streamring.entry.config.PolicyRegistry;
 import org.streamring.entry.ledger.LeaseWaiters;
 import org.streamring.entry.ledger.LedgerHolder;
 import org.streamring.entry.ledger.LedgerRunner;
@@ -106,7 +106,7 @@
         workers = new WorkerPool("worker", settings.get(EntrySettings.WORKERS), WORKER_QUEUE);
         claims = new ClaimCommitter(platform.table(), own.incarnation());
         AccountIndex index = new AccountIndex();
-        PolicyBook policies = new PolicyBook(PolicyCompiler.load());
+        PolicyRegistry policies = new PolicyRegistry(PolicyCompiler.load());
         coordinator = new RequestCoordinator(new RequestAdmitter(index, policies), policies, services());
         configuration.listen((config, changes) -> {
             policies.update(config);
--- a/entry/src/main/java/org/streamring/entry/config/ConfigurationPoller.java
+++ b/entry/src/main/java/org/streamring/entry/config/ConfigurationPoller.java
@@ -14,32 +14,32 @@
 import org.streamring.kernel.table.RowText;
 
 /**
- * Pulls the configuration from the table: one read when nothing changed, one more for the changes that are missing, and
- * a full copy at the start or when changes are missing that the table no longer has.
+ * Reads the configuration from the table. A poll without changes takes one read; with changes, one more for the missing
+ * changes. A full copy is read at the start, or if the table no longer has all missing changes.
  */
 public final class ConfigurationPoller {
     private static final Logger LOGGER = LoggerFactory.getLogger(ConfigurationPoller.class);
-    private static final int PAGE = 500;
+    private static final int PAGE_ROWS = 500;
 
     private final PlatformTable table;
     private final ConfigurationHolder holder;
 
-    /** Creates one. */
+    /** Creates a poller. */
     public ConfigurationPoller(PlatformTable table, ConfigurationHolder holder) {
         this.table = table;
         this.holder = holder;
     }
 
-    /** Looks once. */
+    /** Polls the table once. */
     public void poll() throws PlatformException {
         long newest = newestVersion();
         long current = holder.current().version();
         if (newest <= current) {
             return;
         }
-        boolean complete = current > 0 && pullChanges(current, newest);
+        boolean complete = current > 0 && readChanges(current, newest);
         if (!complete) {
-            pullAll();
+            readFullCopy();
         }
         LOGGER.info("configuration_in_force version={}", holder.current().version());
     }
@@ -49,8 +49,8 @@
         return rows.isEmpty() ? 0 : rows.get(0).amount();
     }
 
-    private boolean pullChanges(long current, long newest) throws PlatformException {
-        List<Row> rows = table.scan(RowKeys.CHANGES, RowKeys.change(current), PAGE);
+    private boolean readChanges(long current, long newest) throws PlatformException {
+        List<Row> rows = table.scan(RowKeys.CHANGES, RowKeys.change(current), PAGE_ROWS);
         List<ConfigChange> changes = rows.stream()
                 .map(row -> RowText.read(row.text(), ConfigChange.class))
                 .toList();
@@ -58,17 +58,17 @@
         return !gap && holder.current().version() >= newest;
     }
 
-    /** A copy is taken only if the version did not move while it was read. */
-    private void pullAll() throws PlatformException {
+    /** Reads a full copy. The copy is used only if the version did not change while it was read. */
+    private void readFullCopy() throws PlatformException {
         long before = newestVersion();
         List<ConfigItem> items = new ArrayList<>();
         String after = "";
         List<Row> page;
         do {
-            page = table.scan(RowKeys.ITEMS, after, PAGE);
+            page = table.scan(RowKeys.ITEMS, after, PAGE_ROWS);
             page.forEach(row -> items.add(toItem(row)));
             after = page.isEmpty() ? after : page.get(page.size() - 1).key();
-        } while (page.size() == PAGE);
+        } while (page.size() == PAGE_ROWS);
         if (newestVersion() == before) {
             holder.offerFull(before, items);
         }
--- a/entry/src/main/java/org/streamring/entry/config/PolicyBook.java
+++ b/entry/src/main/java/org/streamring/entry/config/PolicyRegistry.java
@@ -12,38 +12,43 @@
 import org.streamring.model.declaration.Declarations;
 import org.streamring.model.declaration.PolicyDeclaration;
 
-/** Compiled policies of the configuration in force. A policy that did not change is not compiled again. */
-public final class PolicyBook {
-    private static final Logger LOGGER = LoggerFactory.getLogger(PolicyBook.class);
+/**
+ * Registry of the compiled policies of the configuration in force. A policy that did not change is not compiled again.
+ */
+public final class PolicyRegistry {
+    private static final Logger LOGGER = LoggerFactory.getLogger(PolicyRegistry.class);
     private static final CompiledPolicy BUILT_IN = new BuiltInPolicy();
 
     private final PolicyCompiler compiler;
     private volatile Snapshot snapshot = new Snapshot(Declarations.EMPTY, Map.of());
 
     /**
-     * Declarations with the policies compiled from them, so that a request is decided by one version whole.
+     * Declarations with the policies compiled from them, so that each request is decided by a single version.
      *
      * @param declarations declarations
      * @param policies compiled policies by name
      */
     public record Snapshot(Declarations declarations, Map<String, CompiledPolicy> policies) {
-        /** The policy of a name; the built-in one if the name is empty. */
+        /** Returns the policy with a name; the built-in policy if there is none, as for the empty name. */
         public CompiledPolicy policy(String name) {
             return policies.getOrDefault(name, BUILT_IN);
         }
     }
 
-    /** Creates an empty book. */
-    public PolicyBook(PolicyCompiler compiler) {
+    /** Creates an empty registry. */
+    public PolicyRegistry(PolicyCompiler compiler) {
         this.compiler = compiler;
     }
 
-    /** What is in force. */
+    /** Returns the declarations and policies in force. */
     public Snapshot current() {
         return snapshot;
     }
 
-    /** Compiles what changed. Policies are checked when they are applied, so a failure here keeps the old one. */
+    /**
+     * Compiles the policies that changed. Policies are checked when a configuration is applied; if one fails to compile
+     * here nevertheless, its old version is kept, or the built-in policy is used if there is none.
+     */
     public synchronized void update(Configuration configuration) {
         Snapshot old = snapshot;
         Map<String, CompiledPolicy> compiled = new HashMap<>();
@@ -55,15 +60,15 @@
     }
 
     private CompiledPolicy compile(String name, PolicyDeclaration policy, Snapshot old) {
-        CompiledPolicy before = old.policies().get(name);
-        if (before != null && policy.equals(old.declarations().policies().get(name))) {
-            return before;
+        CompiledPolicy oldPolicy = old.policies().get(name);
+        if (oldPolicy != null && policy.equals(old.declarations().policies().get(name))) {
+            return oldPolicy;
         }
         try {
             return compiler.compile(name, policy);
         } catch (PolicyException e) {
             LOGGER.error("policy_rejected name={} problem={}", name, e.getMessage());
-            return before == null ? BUILT_IN : before;
+            return oldPolicy == null ? BUILT_IN : oldPolicy;
         }
     }
 }
--- a/entry/src/main/java/org/streamring/entry/config/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/config/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps the entry's copy of the configuration current. */
+/** Keeps the entry's copy of the configuration up to date. */
 @NullMarked
 package org.streamring.entry.config;
 
--- a/entry/src/main/java/org/streamring/entry/request/RequestAdmitter.java
+++ b/entry/src/main/java/org/streamring/entry/request/RequestAdmitter.java
@@ -7,7 +7,7 @@
 import org.streamring.entry.caller.Call;
 import org.streamring.entry.caller.ModelCall;
 import org.streamring.entry.caller.RefusedException;
-import org.streamring.entry.config.PolicyBook;
+import org.streamring.entry.config.PolicyRegistry;
 import org.streamring.kernel.policy.CompiledPolicy;
 import org.streamring.kernel.policy.PolicyDecision;
 import org.streamring.kernel.policy.PolicyException;
@@ -30,10 +30,10 @@
     private static final Duration DEFAULT_DEADLINE = Duration.ofMinutes(10);
 
     private final AccountIndex index;
-    private final PolicyBook policies;
+    private final PolicyRegistry policies;
 
     /** Creates an admitter. */
-    public RequestAdmitter(AccountIndex index, PolicyBook policies) {
+    public RequestAdmitter(AccountIndex index, PolicyRegistry policies) {
         this.index = index;
         this.policies = policies;
     }
@@ -54,7 +54,7 @@
      * @throws RefusedException if the call is not valid or not allowed
      */
     AdmittedRequest admit(String requestId, String account, Call call) throws RefusedException {
-        PolicyBook.Snapshot snapshot = policies.current();
+        PolicyRegistry.Snapshot snapshot = policies.current();
         Declarations declarations = snapshot.declarations();
         AccountDeclaration declared = declarations.accounts().get(account);
         if (declared == null) {
@@ -73,7 +73,7 @@
     }
 
     private AdmittedRequest admitModel(
-            String requestId, String account, AccountDeclaration declared, Call call, PolicyBook.Snapshot snapshot)
+            String requestId, String account, AccountDeclaration declared, Call call, PolicyRegistry.Snapshot snapshot)
             throws RefusedException {
         if (!call.method().equals("POST")) {
             throw refused(RefusalReason.BAD_REQUEST, "calls of a model must use POST");
@@ -111,7 +111,7 @@
     }
 
     private AdmittedRequest admitPlain(
-            String requestId, String account, AccountDeclaration declared, Call call, PolicyBook.Snapshot snapshot)
+            String requestId, String account, AccountDeclaration declared, Call call, PolicyRegistry.Snapshot snapshot)
             throws RefusedException {
         String servicePath = call.path().substring(SERVICE_PATH_PREFIX.length());
         int slash = servicePath.indexOf('/');
--- a/entry/src/main/java/org/streamring/entry/request/RequestCoordinator.java
+++ b/entry/src/main/java/org/streamring/entry/request/RequestCoordinator.java
@@ -6,7 +6,7 @@
 import org.streamring.entry.caller.Call;
 import org.streamring.entry.caller.CallReceiver;
 import org.streamring.entry.caller.RefusedException;
-import org.streamring.entry.config.PolicyBook;
+import org.streamring.entry.config.PolicyRegistry;
 import org.streamring.model.declaration.AccountDeclaration;
 import org.streamring.model.request.Refusal;
 import org.streamring.model.request.RefusalReason;
@@ -14,13 +14,13 @@
 /** Receives calls, admits them on worker threads and passes them to {@link RunningRequest}. */
 public final class RequestCoordinator implements CallReceiver {
     private final RequestAdmitter admitter;
-    private final PolicyBook policies;
+    private final PolicyRegistry policies;
     private final RequestServices services;
     private final AtomicInteger open = new AtomicInteger();
     private volatile boolean stopping;
 
     /** Creates a coordinator that accepts calls. */
-    public RequestCoordinator(RequestAdmitter admitter, PolicyBook policies, RequestServices services) {
+    public RequestCoordinator(RequestAdmitter admitter, PolicyRegistry policies, RequestServices services) {
         this.admitter = admitter;
         this.policies = policies;
         this.services = services;
