--- a/entry/src/main/java/org/streamring/entry/BoxPoller.java
+++ b/entry/src/main/java/org/streamring/entry/BoxPoller.java
@@ -12,9 +12,8 @@
 import org.streamring.model.box.BackendServer;
 
 /**
- * Follows the platform's box list. The list lags and may be wrong, so a server that vanishes from it stays usable for
- * as
- * long as its sidecar is connected.
+ * Updates the connections and the replica table from the platform's box list. The list lags and may be wrong, so a
+ * server that disappears from it stays usable as long as its sidecar is connected.
  */
 final class BoxPoller {
     private final BoxList boxes;
--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -55,21 +55,22 @@
 import org.streamring.platform.BillArchive;
 import org.streamring.platform.PlatformProvider;
 
-/** An entry, put together from its parts; also usable inside a test. */
+/** Creates and runs the components of an entry; also used in tests. */
 public final class EntryProcess implements AutoCloseable, SettingsProgram.Running {
     private static final Logger LOGGER = LoggerFactory.getLogger(EntryProcess.class);
-    private static final int LOOPS = 2;
-    private static final int WORKER_QUEUE = 1024;
-    private static final double RETRY_SHARE = 0.1;
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final int WORKER_QUEUE_CAPACITY = 1024;
+    private static final double RETRY_RATIO = 0.1;
     private static final long STOP_POLL_MILLIS = 50;
 
     private final SettingValues settings;
-    private final NioEventLoopGroup loops = new NioEventLoopGroup(LOOPS, new DefaultThreadFactory("loop", true));
+    private final NioEventLoopGroup loops =
+            new NioEventLoopGroup(EVENT_LOOP_THREADS, new DefaultThreadFactory("loop", true));
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final ConfigurationHolder configuration = new ConfigurationHolder();
     private final ReplicaTable replicas = new ReplicaTable();
     private final LeaseWaiters waiters = new LeaseWaiters();
-    private final List<Repeated> tasks = new ArrayList<>();
+    private final List<PeriodicTask> tasks = new ArrayList<>();
     private final PlatformProvider.Platform platform;
     private final LedgerHolder ledgers;
     private final LedgerRunner ledgerRunner;
@@ -81,7 +82,7 @@
     private final AdminServer admin;
     private volatile boolean stopping;
 
-    /** Starts everything. */
+    /** Creates and starts all components. */
     public EntryProcess(SettingValues settings) throws PeerException {
         this.settings = settings;
         String name = settings.get(EntrySettings.NAME);
@@ -103,7 +104,7 @@
                 waiters,
                 settings.get(EntrySettings.LEDGER_INTERVAL),
                 metrics);
-        workers = new WorkerPool("worker", settings.get(EntrySettings.WORKERS), WORKER_QUEUE);
+        workers = new WorkerPool("worker", settings.get(EntrySettings.WORKERS), WORKER_QUEUE_CAPACITY);
         claims = new ClaimCommitter(platform.table(), own.incarnation());
         AccountIndex index = new AccountIndex();
         PolicyRegistry policies = new PolicyRegistry(PolicyCompiler.load());
@@ -113,7 +114,7 @@
             index.update(config);
             configurationChanged(config, changes);
         });
-        links.addListener(new PeerRecorder());
+        links.addListener(new SidecarConnectionListener());
         ledgers.onNewLedger(ledger -> {
             links.connectedIncarnations().forEach(ledger::announcePeer);
             ledger.reportConfigVersion(configuration.current().version());
@@ -147,7 +148,7 @@
                 replicas,
                 new ReplicaSelector(
                         RoutingStrategy.named(settings.get(EntrySettings.ROUTING_STRATEGY)), new SplittableRandom()),
-                new RetryBudget(RETRY_SHARE),
+                new RetryBudget(RETRY_RATIO),
                 new AccountLimiter(),
                 metrics,
                 settings.get(EntrySettings.LEASE_WAIT),
@@ -167,11 +168,11 @@
                 ledgerRunner::lastOutageMillis,
                 settings.get(EntrySettings.SUSPECT_AFTER),
                 watchInterval);
-        tasks.add(new Repeated("config", settings.get(EntrySettings.CONFIG_INTERVAL), poller::poll));
-        tasks.add(new Repeated("boxes", settings.get(EntrySettings.BOXES_INTERVAL), boxes::poll));
-        tasks.add(new Repeated("ping", settings.get(EntrySettings.PING_INTERVAL), this::sendHeartbeats));
-        tasks.add(new Repeated("recovery", watchInterval, () -> recovery.runIfDue(System.currentTimeMillis())));
-        tasks.forEach(Repeated::start);
+        tasks.add(new PeriodicTask("config", settings.get(EntrySettings.CONFIG_INTERVAL), poller::poll));
+        tasks.add(new PeriodicTask("boxes", settings.get(EntrySettings.BOXES_INTERVAL), boxes::poll));
+        tasks.add(new PeriodicTask("ping", settings.get(EntrySettings.PING_INTERVAL), this::sendHeartbeats));
+        tasks.add(new PeriodicTask("recovery", watchInterval, () -> recovery.runIfDue(System.currentTimeMillis())));
+        tasks.forEach(PeriodicTask::start);
         ledgerRunner.start();
         Gauge.builder("streamring.config.version", () -> configuration.current().version())
                 .description("Configuration version in force")
@@ -212,7 +213,7 @@
         return !stopping && configuration.current().version() > 0;
     }
 
-    private final class PeerRecorder implements SidecarLinks.Listener {
+    private final class SidecarConnectionListener implements SidecarLinks.Listener {
         private final UncertainResolver uncertain = new UncertainResolver(ledgers, links);
 
         @Override
@@ -228,37 +229,42 @@
         }
     }
 
-    /** Port for callers. */
+    /** Returns the port for callers. */
     public int port() {
         return callers.port();
     }
 
-    /** Port for health and metrics. */
+    /** Returns the port for health checks and metrics. */
     public int adminPort() {
         return admin.port();
     }
 
-    /** Incarnation of the ledger in use. */
+    /** Returns the incarnation of the ledger in use. */
     public String incarnation() {
         return ledgers.current().incarnation();
     }
 
-    /** Stops in order: no new calls, open ones finish, leases go back, then everything closes. */
+    /**
+     * Shuts the entry down gracefully: refuses new calls, waits for open requests and for the settlement of the leases,
+     * then closes all components.
+     */
     @Override
     public void stopInOrder() {
         stopping = true;
         LOGGER.info("entry_stopping open_requests={}", coordinator.openRequests());
         callers.close();
         coordinator.refuseNewCalls();
-        long until = System.currentTimeMillis()
+        long stopDeadlineMillis = System.currentTimeMillis()
                 + settings.get(EntrySettings.STOP_WAIT).toMillis();
-        waitUntil(until, () -> coordinator.openRequests() == 0 && links.openAttempts() == 0);
+        waitUntil(stopDeadlineMillis, () -> coordinator.openRequests() == 0 && links.openAttempts() == 0);
         ledgers.current().drainAll();
         ledgerRunner.requestPlan();
-        // Also while the table does not answer: one lost answer must not leave leases to be closed by another entry.
-        long settledUntil = System.currentTimeMillis()
+        // Also waits while the table is unreachable: after a single lost answer, the leases must not be left for
+        // another entry to close.
+        long settleDeadlineMillis = System.currentTimeMillis()
                 + settings.get(EntrySettings.SETTLE_WAIT).toMillis();
-        waitUntil(Math.min(until, settledUntil), () -> ledgers.current().isSettled());
+        waitUntil(Math.min(stopDeadlineMillis, settleDeadlineMillis), () -> ledgers.current()
+                .isSettled());
         LOGGER.info(
                 "entry_stopped open_requests={} leases={}",
                 coordinator.openRequests(),
@@ -266,9 +272,9 @@
         close();
     }
 
-    private void waitUntil(long untilMillis, java.util.function.BooleanSupplier condition) {
+    private void waitUntil(long deadlineMillis, java.util.function.BooleanSupplier condition) {
         try {
-            while (!condition.getAsBoolean() && System.currentTimeMillis() < untilMillis) {
+            while (!condition.getAsBoolean() && System.currentTimeMillis() < deadlineMillis) {
                 Thread.sleep(STOP_POLL_MILLIS);
                 ledgerRunner.requestPlan();
             }
@@ -279,7 +285,7 @@
 
     @Override
     public void close() {
-        tasks.forEach(Repeated::close);
+        tasks.forEach(PeriodicTask::close);
         ledgerRunner.close();
         claims.close();
         links.close();
--- a/entry/src/main/java/org/streamring/entry/EntrySettings.java
+++ b/entry/src/main/java/org/streamring/entry/EntrySettings.java
@@ -10,7 +10,7 @@
 
 /** Settings of an entry. */
 public final class EntrySettings {
-    /** Every setting that an entry knows. */
+    /** Schema of all settings of an entry. */
     public static final SettingsSchema SCHEMA = new SettingsSchema();
 
     private static final String IP = "[0-9a-fA-F.:]+";
@@ -71,7 +71,7 @@
     public static final Setting<Duration> CALL_WAIT =
             SCHEMA.duration("limits.call_wait", "30s", "Longest time that a call may take to arrive whole.");
 
-    /** Longest wait for the table at a planned stop. */
+    /** Longest wait for the table during a planned stop. */
     public static final Setting<Duration> SETTLE_WAIT = SCHEMA.duration(
             "stop.settle_wait",
             "5s",
@@ -83,7 +83,7 @@
 
     private EntrySettings() {}
 
-    /** The ledger settings that the profile stands for. */
+    /** Returns the ledger settings of the selected profile. */
     public static LedgerSettings ledger(SettingValues values) {
         return switch (values.get(LEDGER_PROFILE)) {
             case "prompt" -> LedgerSettings.prompt();
--- a/entry/src/main/java/org/streamring/entry/Repeated.java
+++ b/entry/src/main/java/org/streamring/entry/PeriodicTask.java
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory;
 import org.streamring.kernel.table.PlatformException;
 
-/** Repeats a task that asks the platform, on a thread of its own, with jittered pauses. */
-final class Repeated {
-    private static final Logger LOGGER = LoggerFactory.getLogger(Repeated.class);
+/** Runs a task that accesses the platform periodically on its own thread, with jittered pauses. */
+final class PeriodicTask {
+    private static final Logger LOGGER = LoggerFactory.getLogger(PeriodicTask.class);
     private static final double JITTER = 0.2;
 
     private final String name;
@@ -17,14 +17,14 @@
     private final Thread thread;
     private boolean failing;
 
-    /** What is repeated. */
+    /** Task that is run periodically. */
     @FunctionalInterface
     interface Task {
-        /** Runs once. */
+        /** Runs the task once. */
         void run() throws PlatformException;
     }
 
-    Repeated(String name, Duration interval, Task task) {
+    PeriodicTask(String name, Duration interval, Task task) {
         this.name = name;
         this.interval = interval;
         this.task = task;
@@ -32,7 +32,7 @@
         this.thread.setDaemon(true);
     }
 
-    Repeated start() {
+    PeriodicTask start() {
         thread.start();
         return this;
     }
--- a/entry/src/main/java/org/streamring/entry/package-info.java
+++ b/entry/src/main/java/org/streamring/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry program: callers' requests in, decisions, answers out. */
+/** Entry program: receives the requests of callers, routes them and returns the answers. */
 @NullMarked
 package org.streamring.entry;
 
