--- a/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
@@ -148,8 +148,8 @@
         List<String> peers = LeaseCloser.peersOf(peersRows.get(0));
         Optional<List<PeerReceipts>> answers = fenceAll(peers, incarnation, skipUnanswered);
         if (answers.isPresent()) {
-            List<BillItem> writtenItems = bills.takeOver(incarnation, entryRow.amount());
-            LeaseCloser.Findings findings = new LeaseCloser.Findings(peers, answers.get(), writtenItems);
+            List<BillItem> voidedItems = bills.takeOver(incarnation, entryRow.amount());
+            LeaseCloser.Findings findings = new LeaseCloser.Findings(peers, answers.get(), voidedItems);
             settleAll(closer, entryRow, peersRows.get(0), findings, nowMillis);
         }
     }
