--- a/standin/src/main/java/org/streamring/standin/model/Backlog.java
+++ b/standin/src/main/java/org/streamring/standin/model/Backlog.java
@@ -1,27 +1,27 @@
 package org.streamring.standin.model;
 
-/** A link or a processor that does one thing after another at a fixed pace. */
+/** A queue with a single server of constant rate, such as a link or a processor. */
 final class Backlog {
-    private final double perMilli;
-    private double freeMillis;
+    private final double workPerMilli;
+    private double idleFromMillis;
 
     /**
-     * Creates one that is free.
+     * Creates an idle queue.
      *
-     * @param perMilli what it does in a millisecond
+     * @param workPerMilli amount of work done per millisecond
      */
-    Backlog(double perMilli) {
-        this.perMilli = perMilli;
+    Backlog(double workPerMilli) {
+        this.workPerMilli = workPerMilli;
     }
 
     /**
-     * Adds work.
+     * Adds work to the queue.
      *
-     * @param readyMillis when it can begin
-     * @return when it is done
+     * @param readyMillis earliest time at which the work can start
+     * @return time at which the work is done
      */
     double add(double readyMillis, double work) {
-        freeMillis = Math.max(freeMillis, readyMillis) + work / perMilli;
-        return freeMillis;
+        idleFromMillis = Math.max(idleFromMillis, readyMillis) + work / workPerMilli;
+        return idleFromMillis;
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/Call.java
+++ b/standin/src/main/java/org/streamring/standin/model/Call.java
@@ -2,29 +2,29 @@
 
 import org.streamring.kernel.placement.Prompt;
 
-/** One request as its caller sees it, from the first try to the last. */
+/** A request from its caller's point of view, including its retry at another entry. */
 final class Call {
-    private static final double NEVER = -1;
+    private static final double NO_EVENT_YET = -1;
 
     private final Scenario.Kind kind;
     private final Prompt prompt;
     private final int answerTokens;
     private final double firstTryMillis;
     private int tries;
-    private double firstEventMillis = NEVER;
-    private double newestEventMillis;
-    private boolean paused;
-    private boolean over;
+    private double firstEventMillis = NO_EVENT_YET;
+    private double lastEventMillis;
+    private boolean pausedTooLong;
+    private boolean ended;
 
-    /** How a call ended. */
+    /** Final result of a call. */
     enum Outcome {
-        /** Whole, in time and without a pause that is too long. */
+        /** Completed in time, without too long a pause between events. */
         IN_TIME,
-        /** Whole, but late. */
+        /** Completed, but late or with too long a pause between events. */
         LATE,
-        /** Refused, also after its retry. */
+        /** Refused, including the retry. */
         REFUSED,
-        /** Broken off, or not whole at its deadline. */
+        /** Broken off, or not completed before the deadline. */
         FAILED
     }
 
@@ -55,35 +55,35 @@
         return firstTryMillis + kind.deadlineMillis();
     }
 
-    /** Notes another try; returns how many there were before. */
-    int tryAgain() {
+    /** Counts a try and returns the number of earlier tries. */
+    int startTry() {
         return tries++;
     }
 
-    /** Notes that some of the answer arrived. */
-    void event(double atMillis) {
+    /** Records the arrival of an event of the answer at the caller. */
+    void recordEvent(double atMillis) {
         if (firstEventMillis < 0) {
             firstEventMillis = atMillis;
-        } else if (atMillis - newestEventMillis > kind.pauseMillis()) {
-            paused = true;
+        } else if (atMillis - lastEventMillis > kind.pauseMillis()) {
+            pausedTooLong = true;
         }
-        newestEventMillis = atMillis;
+        lastEventMillis = atMillis;
     }
 
-    /** How a whole answer counts. */
-    Outcome whole() {
-        boolean early = firstEventMillis >= 0 && firstEventMillis - firstTryMillis <= kind.targetMillis();
-        return early && !paused ? Outcome.IN_TIME : Outcome.LATE;
+    /** Returns the outcome of the call, given that its answer is complete. */
+    Outcome completedOutcome() {
+        boolean firstEventInTime = firstEventMillis >= 0 && firstEventMillis - firstTryMillis <= kind.targetMillis();
+        return firstEventInTime && !pausedTooLong ? Outcome.IN_TIME : Outcome.LATE;
     }
 
-    /** Whether it has not ended before; it has from now on. */
-    boolean endOnce() {
-        boolean first = !over;
-        over = true;
+    /** Marks the call as ended; returns false if it was already. */
+    boolean markEnded() {
+        boolean first = !ended;
+        ended = true;
         return first;
     }
 
-    boolean over() {
-        return over;
+    boolean ended() {
+        return ended;
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/EngineReplica.java
+++ b/standin/src/main/java/org/streamring/standin/model/EngineReplica.java
@@ -7,31 +7,31 @@
 import org.streamring.kernel.placement.Prompt;
 
 /**
- * A model engine: each step makes one token of every answer, and reads a piece of a prompt beside it, which holds the
- * others up.
+ * A replica of the model service. Each step generates one token of every answer and also reads a chunk of the unread
+ * prompts, which delays the answers.
  */
 final class EngineReplica implements Replica {
-    /** Of the memory; the rest is what running requests take. */
-    private static final double PART_FOR_PARTS = 0.8;
+    /** Part of the memory that caches prompt parts; the rest is used by running requests. */
+    private static final double CACHE_PART_OF_MEMORY = 0.8;
 
-    private final Timeline time;
+    private final SimulatedClock time;
     private final Scenario.Engines engines;
-    private final double speed;
-    private final PartMemory memory;
+    private final double durationFactor;
+    private final PromptPartCache cache;
     private final List<Run> running = new ArrayList<>();
-    private final Deque<Run> line = new ArrayDeque<>();
-    private double slowness = 1;
-    private double darkUntil;
+    private final Deque<Run> queue = new ArrayDeque<>();
+    private double slowdown = 1;
+    private double unreachableUntilMillis;
     private boolean stepping;
     private long tokensRead;
 
     private static final class Run {
         private final Prompt prompt;
         private final Listener listener;
-        private long unread;
+        private long unreadTokens;
         private int tokensLeft;
-        private int tokensOfEvent;
-        private boolean over;
+        private int tokensInEvent;
+        private boolean finished;
 
         private Run(Prompt prompt, int answerTokens, Listener listener) {
             this.prompt = prompt;
@@ -40,102 +40,103 @@
         }
     }
 
-    EngineReplica(Timeline time, Scenario.Engines engines, double speed) {
+    EngineReplica(SimulatedClock time, Scenario.Engines engines, double durationFactor) {
         this.time = time;
         this.engines = engines;
-        this.speed = speed;
-        this.memory = new PartMemory((long) (engines.memoryTokens() * PART_FOR_PARTS));
+        this.durationFactor = durationFactor;
+        this.cache = new PromptPartCache((long) (engines.memoryTokens() * CACHE_PART_OF_MEMORY));
     }
 
-    /** Prompt tokens that were read, kept ones left out. */
+    /** Returns the number of prompt tokens read, without the cached ones. */
     long tokensRead() {
         return tokensRead;
     }
 
     @Override
-    public Runnable take(Prompt prompt, int answerTokens, Listener listener) {
+    public Runnable submit(Prompt prompt, int answerTokens, Listener listener) {
         Run run = new Run(prompt, answerTokens, listener);
-        line.add(run);
+        queue.add(run);
         if (!stepping) {
             stepping = true;
-            time.after(engines.firstMillis() * slowness, this::step);
+            time.after(engines.firstMillis() * slowdown, this::step);
         }
-        return () -> run.over = true;
+        return () -> run.finished = true;
     }
 
     private void step() {
-        running.removeIf(run -> run.over);
-        line.removeIf(run -> run.over);
-        while (running.size() < engines.slots() && !line.isEmpty()) {
-            Run next = line.poll();
-            next.unread = memory.read(next.prompt);
-            tokensRead += next.unread;
+        running.removeIf(run -> run.finished);
+        queue.removeIf(run -> run.finished);
+        while (running.size() < engines.slots() && !queue.isEmpty()) {
+            Run next = queue.poll();
+            next.unreadTokens = cache.read(next.prompt);
+            tokensRead += next.unreadTokens;
             running.add(next);
         }
         if (running.isEmpty()) {
             stepping = false;
             return;
         }
-        List<Run> made = running.stream().filter(run -> run.unread == 0).toList();
+        List<Run> decoding =
+                running.stream().filter(run -> run.unreadTokens == 0).toList();
         double millis = engines.stepMillis() + engines.stepMillisPerRun() * running.size();
-        millis += readPiece() / engines.readPerMilli();
-        time.after(millis * speed * slowness, () -> finish(made));
+        millis += readPromptChunk() / engines.readPerMilli();
+        time.after(millis * durationFactor * slowdown, () -> finish(decoding));
     }
 
-    private double readPiece() {
-        long left = engines.pieceTokens();
+    private double readPromptChunk() {
+        long remaining = engines.pieceTokens();
         for (Run run : running) {
-            long piece = Math.min(left, run.unread);
-            run.unread -= piece;
-            left -= piece;
+            long chunk = Math.min(remaining, run.unreadTokens);
+            run.unreadTokens -= chunk;
+            remaining -= chunk;
         }
-        return (double) (engines.pieceTokens() - left);
+        return (double) (engines.pieceTokens() - remaining);
     }
 
-    private void finish(List<Run> made) {
-        for (Run run : made) {
-            if (!run.over) {
-                makeToken(run);
+    private void finish(List<Run> decoding) {
+        for (Run run : decoding) {
+            if (!run.finished) {
+                generateToken(run);
             }
         }
         step();
     }
 
-    private void makeToken(Run run) {
+    private void generateToken(Run run) {
         run.tokensLeft--;
-        run.tokensOfEvent++;
-        if (run.tokensOfEvent == engines.tokensPerEvent() || run.tokensLeft == 0) {
-            run.tokensOfEvent = 0;
-            run.listener.event();
+        run.tokensInEvent++;
+        if (run.tokensInEvent == engines.tokensPerEvent() || run.tokensLeft == 0) {
+            run.tokensInEvent = 0;
+            run.listener.onEvent();
         }
         if (run.tokensLeft == 0) {
-            run.over = true;
-            run.listener.ended();
+            run.finished = true;
+            run.listener.onComplete();
         }
     }
 
     @Override
     public boolean reachable() {
-        return time.now() >= darkUntil;
+        return time.now() >= unreachableUntilMillis;
     }
 
     @Override
-    public void dark(double millis) {
-        darkUntil = time.now() + millis;
-        List<Run> all = new ArrayList<>(running);
-        all.addAll(line);
+    public void interrupt(double millis) {
+        unreachableUntilMillis = time.now() + millis;
+        List<Run> interrupted = new ArrayList<>(running);
+        interrupted.addAll(queue);
         running.clear();
-        line.clear();
-        for (Run run : all) {
-            if (!run.over) {
-                run.over = true;
-                run.listener.broken();
+        queue.clear();
+        for (Run run : interrupted) {
+            if (!run.finished) {
+                run.finished = true;
+                run.listener.onBroken();
             }
         }
     }
 
     @Override
-    public void slow(double factor) {
-        slowness = factor;
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/Try.java
+++ b/standin/src/main/java/org/streamring/standin/model/EntryTry.java
@@ -8,22 +8,22 @@
 import org.streamring.kernel.placement.PlacementQuery;
 import org.streamring.kernel.registry.BackendInstance;
 
-/** One try of a call at one entry: the replicas that it is sent to, one after the other. */
-final class Try {
-    /** An entry waits so long for a connection. */
+/** A try of a call at one entry, which sends the request to one replica after the other. */
+final class EntryTry {
+    /** Connect timeout of an entry. */
     private static final double CONNECT_MILLIS = 500;
 
-    private static final double RETRY_SOON_MILLIS = 250;
+    private static final double RETRY_AFTER_MILLIS = 250;
 
     private final ModelEntry entry;
     private final Call call;
     private final ModelEntry.Refusal refusal;
     private final double arrivedMillis;
     private final Set<String> tried = new HashSet<>();
-    private int sent;
-    private boolean planned;
+    private int sentAttempts;
+    private boolean dispatched;
 
-    Try(ModelEntry entry, Call call, ModelEntry.Refusal refusal, double arrivedMillis) {
+    EntryTry(ModelEntry entry, Call call, ModelEntry.Refusal refusal, double arrivedMillis) {
         this.entry = entry;
         this.call = call;
         this.refusal = refusal;
@@ -42,9 +42,9 @@
         refusal.refused(afterMillis);
     }
 
-    /** Sends the call to a replica; tells whether it no longer waits. */
-    boolean place() {
-        if (call.over() || planned) {
+    /** Sends the request to a replica if one is available; returns whether the try needs to wait no longer. */
+    boolean sendOrWait() {
+        if (call.ended() || dispatched) {
             return true;
         }
         PlacementQuery query = new PlacementQuery(
@@ -64,10 +64,10 @@
     }
 
     private void send(BackendInstance instance, PlacementQuery query) {
-        planned = true;
+        dispatched = true;
         tried.add(instance.id());
-        Timeline time = entry.time();
-        entry.cold().placed(instance.id(), time.millis());
+        SimulatedClock time = entry.time();
+        entry.coldReplicas().placed(instance.id(), time.millis());
         PlacedPrompt placed =
                 entry.placement().started(query, entry.fleet().traits(call.kind()), instance, time.millis());
         Replica replica = entry.fleet().replica(instance.id());
@@ -75,39 +75,39 @@
             time.after(CONNECT_MILLIS, () -> notConnected(instance, placed));
             return;
         }
-        sent++;
-        time.at(entry.sent(call), () -> arrive(replica, instance, placed));
+        sentAttempts++;
+        time.at(entry.sendRequest(call), () -> arrive(replica, instance, placed));
     }
 
     private void notConnected(BackendInstance instance, PlacedPrompt placed) {
         entry.placement().state(instance.id()).unreachable(entry.time().millis());
         release(placed);
-        place();
+        sendOrWait();
     }
 
     private void arrive(Replica replica, BackendInstance instance, PlacedPrompt placed) {
-        if (call.over()) {
+        if (call.ended()) {
             release(placed);
             return;
         }
-        entry.fleet().arrives(instance.id());
+        entry.fleet().requestArrived(instance.id());
         Attempt attempt = new Attempt(instance, placed);
-        attempt.giveUp = replica.take(call.prompt(), call.answerTokens(), attempt);
-        entry.time().at(call.deadlineMillis(), attempt::leave);
+        attempt.cancel = replica.submit(call.prompt(), call.answerTokens(), attempt);
+        entry.time().at(call.deadlineMillis(), attempt::cancelAtDeadline);
     }
 
     private void release(PlacedPrompt placed) {
-        planned = false;
+        dispatched = false;
         placed.ended();
-        entry.freed();
+        entry.slotReleased();
     }
 
     private final class Attempt implements Replica.Listener {
         private final BackendInstance instance;
         private final PlacedPrompt placed;
-        private @Nullable Runnable giveUp;
-        private double passedOnMillis;
-        private boolean over;
+        private @Nullable Runnable cancel;
+        private double deliveredMillis;
+        private boolean finished;
 
         private Attempt(BackendInstance instance, PlacedPrompt placed) {
             this.instance = instance;
@@ -115,46 +115,46 @@
         }
 
         @Override
-        public void event() {
-            double taken = entry.taken();
-            placed.answered((long) taken);
-            passedOnMillis = entry.passedOn(taken);
-            call.event(passedOnMillis);
+        public void onEvent() {
+            double processedMillis = entry.receiveEvent();
+            placed.answered((long) processedMillis);
+            deliveredMillis = entry.forwardEvent(processedMillis);
+            call.recordEvent(deliveredMillis);
         }
 
         @Override
-        public void ended() {
-            over = true;
+        public void onComplete() {
+            finished = true;
             entry.placement().state(instance.id()).succeeded();
-            entry.time().at(passedOnMillis, () -> {
+            entry.time().at(deliveredMillis, () -> {
                 release(placed);
-                entry.fleet().ended(call, call.whole());
+                entry.fleet().callEnded(call, call.completedOutcome());
             });
         }
 
         @Override
-        public void refused() {
-            over = true;
+        public void onRefused() {
+            finished = true;
             release(placed);
-            if (sent < call.kind().attempts()) {
-                place();
+            if (sentAttempts < call.kind().attempts()) {
+                sendOrWait();
             } else {
-                refuse(RETRY_SOON_MILLIS);
+                refuse(RETRY_AFTER_MILLIS);
             }
         }
 
         @Override
-        public void broken() {
-            over = true;
+        public void onBroken() {
+            finished = true;
             entry.placement().state(instance.id()).failed(entry.time().millis());
             release(placed);
-            entry.fleet().ended(call, Call.Outcome.FAILED);
+            entry.fleet().callEnded(call, Call.Outcome.FAILED);
         }
 
-        private void leave() {
-            if (!over && giveUp != null) {
-                over = true;
-                giveUp.run();
+        private void cancelAtDeadline() {
+            if (!finished && cancel != null) {
+                finished = true;
+                cancel.run();
                 release(placed);
             }
         }
--- a/standin/src/main/java/org/streamring/standin/model/ForecastWait.java
+++ b/standin/src/main/java/org/streamring/standin/model/ForecastWait.java
@@ -6,21 +6,21 @@
 import org.streamring.kernel.admission.WaitQuery;
 
 /**
- * A request waits while its turn is forecast within half of its target, and is refused at once otherwise; its caller is
- * told to come back when what is ahead now has its places.
+ * Lets a request wait if it is forecast to get a slot within half of its target time, and refuses it at once otherwise.
+ * The caller of a refused request is asked to retry when the requests ahead of it are forecast to have got their slots.
  */
 final class ForecastWait implements WaitPolicy {
-    /** The other half is for the answer itself. */
-    private static final double PART_OF_TARGET = 0.5;
+    /** The other half is reserved for the answer itself. */
+    private static final double MAX_PART_OF_TARGET = 0.5;
 
-    private static final double LONGEST_RETRY_MILLIS = 2_000;
+    private static final double MAX_RETRY_AFTER_MILLIS = 2_000;
 
     @Override
     public WaitDecision decide(WaitQuery query) {
-        double turnMillis = (query.ahead() + 1) / Math.max(1e-6, query.freedPerMilli());
-        boolean soon = query.waitedMillis() + turnMillis <= query.targetMillis() * PART_OF_TARGET;
-        return soon
+        double expectedWaitMillis = (query.ahead() + 1) / Math.max(1e-6, query.freedPerMilli());
+        boolean withinTarget = query.waitedMillis() + expectedWaitMillis <= query.targetMillis() * MAX_PART_OF_TARGET;
+        return withinTarget
                 ? WaitDecision.WAIT
-                : WaitDecision.refuse(Duration.ofMillis((long) Math.min(turnMillis, LONGEST_RETRY_MILLIS)));
+                : WaitDecision.refuse(Duration.ofMillis((long) Math.min(expectedWaitMillis, MAX_RETRY_AFTER_MILLIS)));
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/LoadCommand.java
+++ b/standin/src/main/java/org/streamring/standin/model/LoadCommand.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 
-/** Plays a scenario in simulated time by two or more ways of deciding, on the same seeds, and prints a table. */
-@Command(name = "load", description = "Compare ways of deciding on a model of engines and entries, in simulated time")
+/** Simulates a scenario with several wait policies, using the same seeds for each, and prints a table. */
+@Command(name = "load", description = "Compare wait policies in a simulation of engines and entries")
 public final class LoadCommand implements Runnable {
     private static final int WRONG_ARGUMENTS = 2;
 
@@ -19,40 +19,42 @@
     @Required
     private String scenarioFile = "";
 
-    @Option(name = "--seeds", description = "Days to play, each with a seed of its own")
+    @Option(name = "--seeds", description = "Number of simulation runs, each with its own seed")
     private int seeds = 20;
 
-    @Option(name = "--compare", description = "Ways, separated by commas: fixed, refuse, forecast")
+    @Option(name = "--compare", description = "Wait policies, separated by commas: fixed, refuse, forecast")
     private String compare = "fixed,refuse,forecast";
 
     @Override
     public void run() {
-        List<Way> ways = ways();
+        List<WaitPolicyChoice> choices = choices();
         Scenario scenario = scenario();
         if (seeds < 1) {
             fail("--seeds must be above 0");
         }
-        Map<String, List<LoadTally>> results = new LinkedHashMap<>();
-        for (Way way : ways) {
-            System.err.println("playing " + seeds + " days of " + scenario.name() + ", way " + way.name());
-            results.put(way.name(), play(scenario, way));
+        Map<String, List<LoadStatistics>> results = new LinkedHashMap<>();
+        for (WaitPolicyChoice choice : choices) {
+            System.err.println(
+                    "running " + seeds + " simulations of " + scenario.name() + ", wait policy " + choice.name());
+            results.put(choice.name(), simulate(scenario, choice));
         }
         System.out.print(new LoadTable(scenario, results).text());
     }
 
-    private List<LoadTally> play(Scenario scenario, Way way) {
+    private List<LoadStatistics> simulate(Scenario scenario, WaitPolicyChoice choice) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> new LoadDay(scenario, way, seed).play())
+                .mapToObj(seed -> new LoadSimulation(scenario, choice, seed).run())
                 .toList();
     }
 
-    private List<Way> ways() {
-        List<Way> ways = new ArrayList<>();
+    private List<WaitPolicyChoice> choices() {
+        List<WaitPolicyChoice> choices = new ArrayList<>();
         for (String name : compare.split(",", -1)) {
-            Way.named(name.trim()).ifPresentOrElse(ways::add, () -> fail("--compare names no way: " + name));
+            WaitPolicyChoice.named(name.trim())
+                    .ifPresentOrElse(choices::add, () -> fail("--compare: unknown wait policy: " + name));
         }
-        return ways;
+        return choices;
     }
 
     private Scenario scenario() {
--- a/standin/src/main/java/org/streamring/standin/model/LoadTable.java
+++ b/standin/src/main/java/org/streamring/standin/model/LoadTable.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** The results of some ways as a table: means over the seeds, and the spread of the worth. */
+/** Formats the results of wait policies as a table with the means over the seeds and the range of the worth. */
 final class LoadTable {
     private final Scenario scenario;
-    private final Map<String, List<LoadTally>> results;
+    private final Map<String, List<LoadStatistics>> results;
 
-    LoadTable(Scenario scenario, Map<String, List<LoadTally>> results) {
+    LoadTable(Scenario scenario, Map<String, List<LoadStatistics>> results) {
         this.scenario = scenario;
         this.results = results;
     }
@@ -19,34 +19,35 @@
     String text() {
         StringBuilder text = new StringBuilder();
         text.append(row("way", "worth", "least..most", "worst 2 s", "refusals", "held ms", "read k", "cold over"));
-        results.forEach((way, days) -> text.append(row(way, days)));
+        results.forEach((policy, runs) -> text.append(row(policy, runs)));
         text.append('\n').append(kindRow("way", "kind", "in time", "late", "refused", "failed"));
-        results.forEach((way, days) -> scenario.kinds().forEach(kind -> text.append(kindRow(way, kind.name(), days))));
+        results.forEach(
+                (policy, runs) -> scenario.kinds().forEach(kind -> text.append(kindRow(policy, kind.name(), runs))));
         return text.toString();
     }
 
-    private static String row(String way, List<LoadTally> days) {
+    private static String row(String policy, List<LoadStatistics> runs) {
         DoubleSummaryStatistics worth =
-                days.stream().mapToDouble(LoadTally::worth).summaryStatistics();
+                runs.stream().mapToDouble(LoadStatistics::worth).summaryStatistics();
         return row(
-                way,
+                policy,
                 number("%.3f", worth.getAverage()),
                 number("%.3f", worth.getMin()) + ".." + number("%.3f", worth.getMax()),
-                number("%.3f", mean(days, LoadTally::worstSlice)),
-                number("%.0f", mean(days, LoadTally::refusals)),
-                number("%.0f", mean(days, LoadTally::heldMillis)),
-                number("%.0f", mean(days, day -> day.tokensRead() / 1_000.0)),
-                number("%.1f", mean(days, LoadTally::coldOverloads)));
+                number("%.3f", mean(runs, LoadStatistics::worstSlice)),
+                number("%.0f", mean(runs, LoadStatistics::refusals)),
+                number("%.0f", mean(runs, LoadStatistics::meanWaitBeforeRefusalMillis)),
+                number("%.0f", mean(runs, run -> run.tokensRead() / 1_000.0)),
+                number("%.1f", mean(runs, LoadStatistics::coldOverloads)));
     }
 
-    private static String kindRow(String way, String kind, List<LoadTally> days) {
+    private static String kindRow(String policy, String kind, List<LoadStatistics> runs) {
         return kindRow(
-                way,
+                policy,
                 kind,
-                number("%.3f", mean(days, day -> day.share(kind, Call.Outcome.IN_TIME))),
-                number("%.3f", mean(days, day -> day.share(kind, Call.Outcome.LATE))),
-                number("%.3f", mean(days, day -> day.share(kind, Call.Outcome.REFUSED))),
-                number("%.3f", mean(days, day -> day.share(kind, Call.Outcome.FAILED))));
+                number("%.3f", mean(runs, run -> run.share(kind, Call.Outcome.IN_TIME))),
+                number("%.3f", mean(runs, run -> run.share(kind, Call.Outcome.LATE))),
+                number("%.3f", mean(runs, run -> run.share(kind, Call.Outcome.REFUSED))),
+                number("%.3f", mean(runs, run -> run.share(kind, Call.Outcome.FAILED))));
     }
 
     private static String row(String... cells) {
@@ -57,8 +58,8 @@
         return String.format(Locale.ROOT, "%-10s %-18s %8s %8s %8s %8s%n", (Object[]) cells);
     }
 
-    private static double mean(List<LoadTally> days, ToDoubleFunction<LoadTally> figure) {
-        return days.stream().mapToDouble(figure).average().orElse(0);
+    private static double mean(List<LoadStatistics> runs, ToDoubleFunction<LoadStatistics> figure) {
+        return runs.stream().mapToDouble(figure).average().orElse(0);
     }
 
     private static String number(String format, double value) {
--- a/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
+++ b/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
@@ -15,47 +15,48 @@
 import org.streamring.kernel.placement.PlacementTable;
 import org.streamring.kernel.registry.BackendInstance;
 
-/** One entry: its link and processor as queues, its decisions by the kernel's own classes. */
+/** An entry with its link and processor modelled as queues; its decisions are made by the classes of the kernel. */
 final class ModelEntry {
-    /** As entries do, requests that wait are looked at so often. */
-    private static final double LOOK_MILLIS = 15;
+    /** Interval at which waiting requests are checked, as in real entries. */
+    private static final double QUEUE_CHECK_MILLIS = 15;
 
-    private final Timeline time;
+    private final SimulatedClock time;
     private final ModelFleet fleet;
     private final int number;
-    private final Scenario.Fleet sheet;
-    private final LoadTally tally;
-    private final Backlog in;
-    private final Backlog out;
+    private final Scenario.Fleet settings;
+    private final LoadStatistics statistics;
+    private final Backlog inboundLink;
+    private final Backlog outboundLink;
     private final Backlog processor;
     private final PlacementTable placement;
-    private final ColdReplicas cold;
-    private final WaitPolicy waiting;
-    private final PlacePace pace = new PlacePace();
-    private final List<Try> line = new ArrayList<>();
-    private boolean looking;
+    private final ColdReplicas coldReplicas;
+    private final WaitPolicy waitPolicy;
+    private final PlacePace slotReleaseRate = new PlacePace();
+    private final List<EntryTry> queue = new ArrayList<>();
+    private boolean checkScheduled;
 
     ModelEntry(
-            Timeline time,
+            SimulatedClock time,
             ModelFleet fleet,
-            Scenario.Fleet sheet,
+            Scenario.Fleet settings,
             int number,
-            Way way,
-            LoadTally tally,
+            WaitPolicyChoice choice,
+            LoadStatistics statistics,
             Random random) {
         this.time = time;
         this.fleet = fleet;
-        this.sheet = sheet;
+        this.settings = settings;
         this.number = number;
-        this.tally = tally;
-        double link =
-                sheet.linkBytesPerMilli().get(number % sheet.linkBytesPerMilli().size());
-        this.in = new Backlog(link);
-        this.out = new Backlog(link);
-        this.processor = new Backlog(sheet.cores().get(number % sheet.cores().size()));
+        this.statistics = statistics;
+        double link = settings.linkBytesPerMilli()
+                .get(number % settings.linkBytesPerMilli().size());
+        this.inboundLink = new Backlog(link);
+        this.outboundLink = new Backlog(link);
+        this.processor =
+                new Backlog(settings.cores().get(number % settings.cores().size()));
         this.placement = new PlacementTable(random);
-        this.cold = new ColdReplicas(name(), fleet::names);
-        this.waiting = way.waiting().get();
+        this.coldReplicas = new ColdReplicas(name(), fleet::names);
+        this.waitPolicy = choice.policyFactory().get();
     }
 
     int number() {
@@ -66,62 +67,62 @@
         return "entry-" + number;
     }
 
-    /** What it tells the others. */
+    /** Returns the placement report for the other entries. */
     PlacementReport report() {
         return placement.report(time.millis());
     }
 
-    void reported(String entry, PlacementReport report) {
+    void receiveReport(String entry, PlacementReport report) {
         placement.reported(entry, report, id -> fleet.traitsOf(id).memoryTokens(), time.millis());
     }
 
-    void heardCold(String replica, long millis) {
-        cold.heard(replica, millis, time.millis());
+    void coldReplicaAdded(String replica, long millis) {
+        coldReplicas.heard(replica, millis, time.millis());
     }
 
-    /** Takes a try of a call. */
-    void take(Call call, Refusal refusal) {
+    /** Accepts a try of a call. */
+    void accept(Call call, Refusal refusal) {
         double arrived = time.now();
-        double read = in.add(arrived, call.kind().bodyBytes());
-        double ready = processor.add(read, sheet.requestCpuMillis());
-        time.at(ready, () -> new Try(this, call, refusal, arrived).place());
+        double read = inboundLink.add(arrived, call.kind().bodyBytes());
+        double ready = processor.add(read, settings.requestCpuMillis());
+        time.at(ready, () -> new EntryTry(this, call, refusal, arrived).sendOrWait());
     }
 
-    /** Hears that a try was refused. */
+    /** Receives the refusal of a try. */
     interface Refusal {
-        /** The caller may come back after a while. */
+        /** Called when the try was refused; the caller may retry after the given number of milliseconds. */
         void refused(double afterMillis);
     }
 
-    /** Chooses a replica; empty if none may take the call now. */
+    /** Chooses a replica; empty if no replica may get the call now. */
     Optional<BackendInstance> choose(Call call, PlacementQuery query) {
         long now = time.millis();
-        List<BackendInstance> ready = fleet.known(call.kind()).stream()
-                .filter(instance -> cold.takes(instance.id(), fleet.coldLimit(call.kind()), now))
+        List<BackendInstance> ready = fleet.listedReplicas(call.kind()).stream()
+                .filter(instance -> coldReplicas.takes(instance.id(), fleet.coldLimit(call.kind()), now))
                 .toList();
-        return placement.choose(query, fleet.traits(call.kind()), ready, sheet.entries(), now);
+        return placement.choose(query, fleet.traits(call.kind()), ready, settings.entries(), now);
     }
 
-    /** Lets a try wait or refuses it, as the policy says. */
-    void waitOrRefuse(Try waiter) {
-        WaitDecision decision = waiting.decide(query(waiter));
+    /** Queues a try or refuses it, as decided by the wait policy. */
+    void waitOrRefuse(EntryTry waiter) {
+        WaitDecision decision = waitPolicy.decide(query(waiter));
         if (!decision.waits()) {
-            line.remove(waiter);
-            tally.refusedTry(time.now() - waiter.arrivedMillis());
+            queue.remove(waiter);
+            statistics.recordRefusal(time.now() - waiter.arrivedMillis());
             waiter.refuse((double) decision.retryAfter().toMillis());
-        } else if (!line.contains(waiter)) {
-            line.add(waiter);
-            line.sort(Comparator.comparingInt(each -> each.call().kind().rank()));
-            lookSoon();
+        } else if (!queue.contains(waiter)) {
+            queue.add(waiter);
+            queue.sort(Comparator.comparingInt(each -> each.call().kind().rank()));
+            scheduleQueueCheck();
         }
     }
 
-    private WaitQuery query(Try waiter) {
-        int own = line.indexOf(waiter);
+    private WaitQuery query(EntryTry waiter) {
+        int ownIndex = queue.indexOf(waiter);
         int rank = waiter.call().kind().rank();
-        int ahead = own >= 0
-                ? own
-                : (int) line.stream()
+        int ahead = ownIndex >= 0
+                ? ownIndex
+                : (int) queue.stream()
                         .filter(each -> each.call().kind().rank() <= rank)
                         .count();
         return new WaitQuery(
@@ -129,32 +130,32 @@
                 waiter.call().kind().targetMillis(),
                 (long) (waiter.call().deadlineMillis() - time.now()),
                 ahead,
-                pace.perMilli(time.millis()),
+                slotReleaseRate.perMilli(time.millis()),
                 0);
     }
 
-    /** A place became free. */
-    void freed() {
-        pace.freed(time.millis());
-        look();
+    /** Records that a slot became free, and sends waiting requests. */
+    void slotReleased() {
+        slotReleaseRate.freed(time.millis());
+        sendWaiting();
     }
 
-    private void look() {
-        for (Try waiter : List.copyOf(line)) {
-            if (line.contains(waiter) && waiter.place()) {
-                line.remove(waiter);
+    private void sendWaiting() {
+        for (EntryTry waiter : List.copyOf(queue)) {
+            if (queue.contains(waiter) && waiter.sendOrWait()) {
+                queue.remove(waiter);
             }
         }
     }
 
-    private void lookSoon() {
-        if (!looking) {
-            looking = true;
-            time.after(LOOK_MILLIS, () -> {
-                looking = false;
-                look();
-                if (!line.isEmpty()) {
-                    lookSoon();
+    private void scheduleQueueCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            time.after(QUEUE_CHECK_MILLIS, () -> {
+                checkScheduled = false;
+                sendWaiting();
+                if (!queue.isEmpty()) {
+                    scheduleQueueCheck();
                 }
             });
         }
@@ -164,30 +165,31 @@
         return placement;
     }
 
-    ColdReplicas cold() {
-        return cold;
+    ColdReplicas coldReplicas() {
+        return coldReplicas;
     }
 
     ModelFleet fleet() {
         return fleet;
     }
 
-    Timeline time() {
+    SimulatedClock time() {
         return time;
     }
 
-    /** When a request that leaves now reaches a replica. */
-    double sent(Call call) {
-        return out.add(time.now(), call.kind().bodyBytes()) + sheet.hopMillis();
+    /** Sends a request now and returns the time at which it reaches the replica. */
+    double sendRequest(Call call) {
+        return outboundLink.add(time.now(), call.kind().bodyBytes()) + settings.hopMillis();
     }
 
-    /** When an event that a replica makes now has been taken here. */
-    double taken() {
-        return processor.add(in.add(time.now() + sheet.hopMillis(), sheet.eventBytes()), sheet.eventCpuMillis());
+    /** Receives an event that a replica sends now, and returns the time at which this entry has processed it. */
+    double receiveEvent() {
+        return processor.add(
+                inboundLink.add(time.now() + settings.hopMillis(), settings.eventBytes()), settings.eventCpuMillis());
     }
 
-    /** When an event that is passed on at a time reaches the caller. */
-    double passedOn(double atMillis) {
-        return out.add(atMillis, sheet.eventBytes()) + sheet.hopMillis();
+    /** Forwards an event at the given time and returns the time at which it reaches the caller. */
+    double forwardEvent(double atMillis) {
+        return outboundLink.add(atMillis, settings.eventBytes()) + settings.hopMillis();
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/PlainReplica.java
+++ b/standin/src/main/java/org/streamring/standin/model/PlainReplica.java
@@ -7,96 +7,96 @@
 import java.util.Random;
 import org.streamring.kernel.placement.Prompt;
 
-/** A replica of a plain service: some places, a short line, and refusals beyond it. */
+/** A replica of a plain service with a number of slots and a short queue; it refuses requests when both are full. */
 final class PlainReplica implements Replica {
-    private final Timeline time;
+    private final SimulatedClock time;
     private final Random random;
     private final Scenario.Plain plain;
-    private final double speed;
-    private final Deque<Call> line = new ArrayDeque<>();
-    private final List<Call> running = new ArrayList<>();
-    private double slowness = 1;
-    private double darkUntil;
+    private final double durationFactor;
+    private final Deque<PendingRequest> queue = new ArrayDeque<>();
+    private final List<PendingRequest> running = new ArrayList<>();
+    private double slowdown = 1;
+    private double unreachableUntilMillis;
 
-    private static final class Call {
+    private static final class PendingRequest {
         private final Listener listener;
-        private boolean over;
+        private boolean finished;
 
-        private Call(Listener listener) {
+        private PendingRequest(Listener listener) {
             this.listener = listener;
         }
     }
 
-    PlainReplica(Timeline time, Random random, Scenario.Plain plain, double speed) {
+    PlainReplica(SimulatedClock time, Random random, Scenario.Plain plain, double durationFactor) {
         this.time = time;
         this.random = random;
         this.plain = plain;
-        this.speed = speed;
+        this.durationFactor = durationFactor;
     }
 
     @Override
-    public Runnable take(Prompt prompt, int answerTokens, Listener listener) {
-        Call call = new Call(listener);
+    public Runnable submit(Prompt prompt, int answerTokens, Listener listener) {
+        PendingRequest request = new PendingRequest(listener);
         if (running.size() < plain.slots()) {
-            begin(call);
-        } else if (line.size() < plain.line()) {
-            line.add(call);
+            start(request);
+        } else if (queue.size() < plain.line()) {
+            queue.add(request);
         } else {
-            listener.refused();
+            listener.onRefused();
         }
-        return () -> giveUp(call);
+        return () -> cancel(request);
     }
 
-    private void giveUp(Call call) {
-        call.over = true;
-        if (line.remove(call)) {
+    private void cancel(PendingRequest request) {
+        request.finished = true;
+        if (queue.remove(request)) {
             return;
         }
-        release(call);
+        release(request);
     }
 
-    private void begin(Call call) {
-        running.add(call);
-        double work = Draws.spread(random, plain.workMillis(), plain.workSpread()) * speed * slowness;
-        time.after(work, () -> finish(call));
+    private void start(PendingRequest request) {
+        running.add(request);
+        double work = RandomDraws.lognormal(random, plain.workMillis(), plain.workSpread()) * durationFactor * slowdown;
+        time.after(work, () -> finish(request));
     }
 
-    private void finish(Call call) {
-        if (call.over) {
+    private void finish(PendingRequest request) {
+        if (request.finished) {
             return;
         }
-        call.over = true;
-        release(call);
-        call.listener.event();
-        call.listener.ended();
+        request.finished = true;
+        release(request);
+        request.listener.onEvent();
+        request.listener.onComplete();
     }
 
-    private void release(Call call) {
-        if (running.remove(call) && !line.isEmpty() && reachable()) {
-            begin(line.poll());
+    private void release(PendingRequest request) {
+        if (running.remove(request) && !queue.isEmpty() && reachable()) {
+            start(queue.poll());
         }
     }
 
     @Override
     public boolean reachable() {
-        return time.now() >= darkUntil;
+        return time.now() >= unreachableUntilMillis;
     }
 
     @Override
-    public void dark(double millis) {
-        darkUntil = time.now() + millis;
-        List<Call> all = new ArrayList<>(running);
-        all.addAll(line);
+    public void interrupt(double millis) {
+        unreachableUntilMillis = time.now() + millis;
+        List<PendingRequest> interrupted = new ArrayList<>(running);
+        interrupted.addAll(queue);
         running.clear();
-        line.clear();
-        for (Call call : all) {
-            call.over = true;
-            call.listener.broken();
+        queue.clear();
+        for (PendingRequest request : interrupted) {
+            request.finished = true;
+            request.listener.onBroken();
         }
     }
 
     @Override
-    public void slow(double factor) {
-        slowness = factor;
+    public void setSlowdown(double factor) {
+        slowdown = factor;
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/PartMemory.java
+++ b/standin/src/main/java/org/streamring/standin/model/PromptPartCache.java
@@ -6,8 +6,8 @@
 import org.streamring.kernel.placement.Prompt;
 import org.streamring.kernel.placement.PromptPart;
 
-/** What an engine really keeps of prompts: the parts read last, as far as its memory goes. */
-final class PartMemory {
+/** The prompt parts cached by an engine; evicts the least recently read parts when the capacity is exceeded. */
+final class PromptPartCache {
     private static final int INITIAL_PARTS = 256;
     private static final float LOAD_FACTOR = 0.75f;
 
@@ -15,25 +15,25 @@
     private final Map<String, Long> parts = new LinkedHashMap<>(INITIAL_PARTS, LOAD_FACTOR, true);
     private long tokens;
 
-    PartMemory(long capacityTokens) {
+    PromptPartCache(long capacityTokens) {
         this.capacityTokens = capacityTokens;
     }
 
-    /** Reads a prompt; returns the tokens that were not kept. */
+    /** Reads a prompt into the cache and returns the number of tokens after its longest cached prefix. */
     long read(Prompt prompt) {
-        long kept = 0;
-        boolean allBefore = true;
+        long cachedTokens = 0;
+        boolean prefixCached = true;
         for (PromptPart part : prompt.parts()) {
-            allBefore &= parts.containsKey(part.id());
-            kept += allBefore ? part.tokens() : 0;
-            Long before = parts.put(part.id(), part.tokens());
-            tokens += part.tokens() - (before == null ? 0 : before);
+            prefixCached &= parts.containsKey(part.id());
+            cachedTokens += prefixCached ? part.tokens() : 0;
+            Long previousTokens = parts.put(part.id(), part.tokens());
+            tokens += part.tokens() - (previousTokens == null ? 0 : previousTokens);
         }
         Iterator<Map.Entry<String, Long>> oldest = parts.entrySet().iterator();
         while (tokens > capacityTokens && oldest.hasNext()) {
             tokens -= oldest.next().getValue();
             oldest.remove();
         }
-        return Math.max(0, prompt.tokens() - kept);
+        return Math.max(0, prompt.tokens() - cachedTokens);
     }
 }
--- a/standin/src/main/java/org/streamring/standin/model/Draws.java
+++ b/standin/src/main/java/org/streamring/standin/model/RandomDraws.java
@@ -2,17 +2,17 @@
 
 import java.util.Random;
 
-/** Random sizes and choices. */
-final class Draws {
-    private Draws() {}
+/** Random sizes and weighted choices. */
+final class RandomDraws {
+    private RandomDraws() {}
 
-    /** A size with a mean, spread as a lognormal distribution; the mean itself where there is no spread. */
-    static double spread(Random random, double mean, double sigma) {
+    /** Returns a lognormally distributed size with the given mean, or the mean itself if sigma is 0 or below. */
+    static double lognormal(Random random, double mean, double sigma) {
         return sigma <= 0 ? mean : mean * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2);
     }
 
-    /** Weights that fall with the rank, the first being the largest; their sum is 1. */
-    static double[] skewed(int count, double skew) {
+    /** Returns the weights of a Zipf distribution in descending order; their sum is 1. */
+    static double[] zipfWeights(int count, double skew) {
         double[] weights = new double[count];
         double sum = 0;
         for (int i = 0; i < count; i++) {
@@ -25,16 +25,16 @@
         return weights;
     }
 
-    /** Draws an index by weights that need not sum up to 1. */
-    static int index(Random random, double[] weights) {
+    /** Returns a random index with probabilities proportional to the weights, whose sum may differ from 1. */
+    static int weightedIndex(Random random, double[] weights) {
         double sum = 0;
         for (double weight : weights) {
             sum += weight;
         }
-        double left = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         for (int i = 0; i < weights.length; i++) {
-            left -= weights[i];
-            if (left < 0) {
+            remaining -= weights[i];
+            if (remaining < 0) {
                 return i;
             }
         }
--- a/standin/src/main/java/org/streamring/standin/model/RefuseAtOnce.java
+++ b/standin/src/main/java/org/streamring/standin/model/RefuseAtOnce.java
@@ -5,7 +5,7 @@
 import org.streamring.kernel.admission.WaitPolicy;
 import org.streamring.kernel.admission.WaitQuery;
 
-/** Nothing waits: the other end of what can be compared. */
+/** Refuses each request that finds no free slot at once; the lower extreme when wait policies are compared. */
 final class RefuseAtOnce implements WaitPolicy {
     private static final Duration RETRY_AFTER = Duration.ofMillis(20);
 
--- a/standin/src/main/java/org/streamring/standin/model/Replica.java
+++ b/standin/src/main/java/org/streamring/standin/model/Replica.java
@@ -2,37 +2,37 @@
 
 import org.streamring.kernel.placement.Prompt;
 
-/** One replica of a service, in simulated time. */
+/** A replica of a service in simulated time. */
 interface Replica {
-    /** Hears what becomes of a request; after the end nothing more comes. */
+    /** Receives the progress of a request; no method is called after the request has ended. */
     interface Listener {
-        /** Some of the answer was made. */
-        void event();
+        /** Called when the replica has generated an event of the answer. */
+        void onEvent();
 
-        /** The answer is whole. */
-        void ended();
+        /** Called when the answer is complete. */
+        void onComplete();
 
-        /** The replica refused it, and has not run it. */
-        void refused();
+        /** Called when the replica has refused the request without processing it. */
+        void onRefused();
 
-        /** It broke off, or never answered. */
-        void broken();
+        /** Called when the request was interrupted, whether or not a part of the answer was sent. */
+        void onBroken();
     }
 
     /**
-     * Takes a request.
+     * Submits a request.
      *
      * @param answerTokens tokens of the answer; 0 for a plain request
-     * @return gives the request up
+     * @return an action that cancels the request
      */
-    Runnable take(Prompt prompt, int answerTokens, Listener listener);
+    Runnable submit(Prompt prompt, int answerTokens, Listener listener);
 
-    /** Whether connections to it are made. */
+    /** Returns whether the replica accepts connections. */
     boolean reachable();
 
-    /** It is dark from now on for a while: what runs breaks off, and nothing is reached. */
-    void dark(double millis);
+    /** Interrupts all requests and makes the replica unreachable for the given time. */
+    void interrupt(double millis);
 
-    /** Everything takes so many times as long from now on. */
-    void slow(double factor);
+    /** Sets the factor by which all durations are multiplied from now on. */
+    void setSlowdown(double factor);
 }
--- a/standin/src/main/java/org/streamring/standin/model/Scenario.java
+++ b/standin/src/main/java/org/streamring/standin/model/Scenario.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A fleet, what it serves and what strikes it, as a scenario file tells. Times are in milliseconds or, where named so,
- * in seconds.
+ * A simulated fleet with its load and its faults, as read from a scenario file. Times are in milliseconds, or in
+ * seconds where the name says so.
  *
- * @param name for the table
- * @param seconds length of a day
+ * @param name name of the scenario, printed with the results
+ * @param seconds length of a simulation run in seconds
  * @param fleet entries
  * @param engines replicas of the model service
  * @param plain replicas of the plain service
- * @param accounts who calls
+ * @param accounts client accounts and their callers
  * @param kinds kinds of requests
- * @param bursts times with more requests
- * @param faults what strikes replicas
+ * @param bursts periods with a higher request rate
+ * @param faults faults of replicas of the model service
  */
 record Scenario(
         String name,
@@ -31,9 +31,11 @@
         bursts = List.copyOf(bursts);
         faults = List.copyOf(faults);
         require(seconds > 0, "seconds must be above 0");
-        require(!kinds.isEmpty(), "there must be a kind of request");
+        require(!kinds.isEmpty(), "kinds must not be empty");
         for (Burst burst : bursts) {
-            require(burst.account < accounts.count, "a burst names account " + burst.account + ", which is not there");
+            require(
+                    burst.account < accounts.count,
+                    "a burst names account " + burst.account + ", which does not exist");
         }
     }
 
@@ -44,17 +46,18 @@
     }
 
     /**
-     * Entries.
+     * Entries, their links and processors, and the variation of the load over time.
      *
      * @param entries number of entries
-     * @param linkBytesPerMilli bytes in a millisecond each way; entries take these in turn
-     * @param cores part of a core; entries take these in turn
-     * @param requestCpuMillis core time of a request
-     * @param eventCpuMillis core time of an event that is passed on
-     * @param eventBytes bytes of an event on a link
-     * @param hopMillis time on the way to another box
-     * @param waveSwing how far demand rises and falls, in parts of its mean
-     * @param wavePeriodSeconds length of a rise and fall
+     * @param linkBytesPerMilli link bandwidth in bytes per millisecond and direction, assigned to the
+     *     entries cyclically
+     * @param cores processor cores of an entry (may be a fraction), assigned to the entries cyclically
+     * @param requestCpuMillis core time for a request
+     * @param eventCpuMillis core time for forwarding an event
+     * @param eventBytes size of an event on a link
+     * @param hopMillis one-way latency to another box
+     * @param waveSwing amplitude of the periodic demand variation, as a fraction of the mean
+     * @param wavePeriodSeconds period of the demand variation in seconds
      */
     record Fleet(
             int entries,
@@ -70,7 +73,9 @@
             linkBytesPerMilli = List.copyOf(linkBytesPerMilli);
             cores = List.copyOf(cores);
             require(entries > 0, "fleet.entries must be above 0");
-            require(!linkBytesPerMilli.isEmpty() && !cores.isEmpty(), "fleet needs a link and cores");
+            require(
+                    !linkBytesPerMilli.isEmpty() && !cores.isEmpty(),
+                    "fleet.link_bytes_per_milli and fleet.cores must not be empty");
             require(
                     linkBytesPerMilli.stream().allMatch(each -> each > 0),
                     "fleet.link_bytes_per_milli must be above 0");
@@ -83,18 +88,19 @@
      * Replicas of the model service.
      *
      * @param count number of replicas
-     * @param slots requests that one works on at once
-     * @param memoryTokens tokens that its memory holds
-     * @param stepMillis time of a step
-     * @param stepMillisPerRun what each running request adds to it
-     * @param readPerMilli prompt tokens read in a millisecond
-     * @param pieceTokens prompt tokens read in one step at the most
-     * @param firstMillis time before the first step of an idle engine
-     * @param tokensPerEvent tokens of an event
-     * @param speeds factors of time; replicas take these in turn
-     * @param coldSeconds how long one stays cold after a return
-     * @param coldPerSecond requests a second that it bears meanwhile; 0 for any number
-     * @param coldMostInSecond requests in a second beyond which it falls over
+     * @param slots requests that a replica processes concurrently
+     * @param memoryTokens tokens that fit into the memory of a replica
+     * @param stepMillis base duration of a step
+     * @param stepMillisPerRun additional duration of a step for each running request
+     * @param readPerMilli prompt tokens read per millisecond
+     * @param pieceTokens maximum number of prompt tokens read in one step
+     * @param firstMillis delay before the first step of an idle engine
+     * @param tokensPerEvent answer tokens per event
+     * @param speeds duration factors (2 is half as fast), assigned to the replicas cyclically
+     * @param coldSeconds how long a replica stays cold after a restart
+     * @param coldPerSecond requests per second that entries may send to a cold replica; 0 for no limit
+     * @param coldMostInSecond maximum number of requests in one second; a cold replica that gets more becomes
+     *     unreachable
      */
     record Engines(
             int count,
@@ -113,7 +119,9 @@
         Engines {
             speeds = List.copyOf(speeds);
             require(count > 0 && slots > 0, "engines.count and engines.slots must be above 0");
-            require(readPerMilli > 0 && pieceTokens > 0, "engines must read something in a step");
+            require(
+                    readPerMilli > 0 && pieceTokens > 0,
+                    "engines.read_per_milli and engines.piece_tokens must be above 0");
             require(tokensPerEvent > 0, "engines.tokens_per_event must be above 0");
             require(!speeds.isEmpty(), "engines.speeds must not be empty");
         }
@@ -123,11 +131,11 @@
      * Replicas of the plain service.
      *
      * @param count number of replicas
-     * @param slots requests that one works on at once
-     * @param line requests that wait at one before it refuses
-     * @param workMillis mean time of a request
-     * @param workSpread its spread (sigma of a lognormal distribution)
-     * @param speeds factors of time; replicas take these in turn
+     * @param slots requests that a replica processes concurrently
+     * @param line maximum number of requests queued at a replica; it refuses further ones
+     * @param workMillis mean processing time of a request
+     * @param workSpread spread of the processing time (sigma of a lognormal distribution)
+     * @param speeds duration factors (2 is half as fast), assigned to the replicas cyclically
      */
     record Plain(int count, int slots, int line, double workMillis, double workSpread, List<Double> speeds) {
         Plain {
@@ -138,12 +146,13 @@
     }
 
     /**
-     * Who calls.
+     * Client accounts and their callers.
      *
-     * @param count client accounts
-     * @param skew how much larger the first ones are
-     * @param callers callers of all accounts together; each keeps to one entry
-     * @param stuck accounts, from this one on, all of whose callers reach one entry; the count for none
+     * @param count number of client accounts
+     * @param skew exponent of the Zipf distribution of the load over the accounts; the first accounts get the most
+     * @param callers total number of callers of all accounts; each caller sends its first tries to one entry
+     * @param stuck index of the first account whose callers all use the same entry; equal to {@code count} if there is
+     *     no such account
      */
     record Accounts(int count, double skew, int callers, int stuck) {
         Accounts {
@@ -155,22 +164,22 @@
     /**
      * A kind of request.
      *
-     * @param name for the table
-     * @param engine whether the model service answers it; the plain one otherwise
-     * @param perSecond requests a second of all callers together
-     * @param rank urgency, 0 being the most urgent
-     * @param targetMillis time to the first answer that counts fully
-     * @param pauseMillis longest pause between events that counts fully
-     * @param deadlineMillis time after which its caller leaves
-     * @param attempts replicas that one try may reach
-     * @param worth of an answer in time
-     * @param lateWorth of a later one
-     * @param shared parts that prompts share, in order
-     * @param ownTokens mean of the tokens that are a prompt's own
-     * @param ownSpread their spread
-     * @param answerTokens mean of the tokens of an answer
-     * @param answerSpread their spread
-     * @param bodyBytes bytes of the request
+     * @param name name of the kind, printed with the results
+     * @param engine true for requests to the model service, false for requests to the plain service
+     * @param perSecond mean request rate of all callers together
+     * @param rank urgency from 0 (most urgent) to 9
+     * @param targetMillis maximum time to the first event of an answer in time
+     * @param pauseMillis maximum pause between two events of an answer in time
+     * @param deadlineMillis time after which the caller gives up
+     * @param attempts maximum number of replicas that an entry sends the request to
+     * @param worth value of an answer in time
+     * @param lateWorth value of a late answer
+     * @param shared prompt parts shared with other requests, in the order of the prompt
+     * @param ownTokens mean length of the unshared part of the prompt in tokens
+     * @param ownSpread spread of that length (sigma of a lognormal distribution)
+     * @param answerTokens mean length of the answer in tokens
+     * @param answerSpread spread of that length (sigma of a lognormal distribution)
+     * @param bodyBytes size of the request body
      */
     record Kind(
             String name,
@@ -198,46 +207,46 @@
     }
 
     /**
-     * A part that prompts share.
+     * A prompt part that occurs in several prompts, such as a system prompt.
      *
-     * @param tokens mean length
-     * @param things how many there are
-     * @param skew how much more often the first ones come
+     * @param tokens length in tokens
+     * @param things number of different variants of the part
+     * @param skew exponent of the Zipf distribution of the variants; the first variants are the most frequent
      */
     record Shared(double tokens, int things, double skew) {
         Shared {
-            require(things > 0, "a shared part needs a thing");
+            require(things > 0, "things of a shared part must be above 0");
         }
     }
 
     /**
-     * A time with more requests.
+     * A period with a higher request rate.
      *
-     * @param atSeconds when it begins
-     * @param forSeconds how long it lasts
-     * @param factor how many times the usual
-     * @param account whose; -1 for all
+     * @param atSeconds start of the period
+     * @param forSeconds duration of the period
+     * @param factor factor by which the request rate is multiplied
+     * @param account index of the affected account; -1 for all accounts
      */
     record Burst(double atSeconds, double forSeconds, double factor, int account) {}
 
-    /** What a fault does to replicas of the model service. */
+    /** Effect of a fault on replicas of the model service. */
     enum FaultKind {
-        /** They work more slowly. */
+        /** The replicas work more slowly. */
         SLOW,
-        /** They are dark, and back as they were. */
+        /** The replicas are unreachable for a while and keep their state. */
         DARK,
-        /** They are dark, and back cold as new incarnations. */
+        /** The replicas are unreachable for a while and restart as cold new incarnations. */
         COLD
     }
 
     /**
-     * What strikes replicas of the model service.
+     * A fault of replicas of the model service.
      *
-     * @param kind what it does
-     * @param atSeconds when it begins
-     * @param forSeconds how long it lasts
-     * @param share part of the replicas
-     * @param factor how many times slower
+     * @param kind effect on the replicas
+     * @param atSeconds start of the fault
+     * @param forSeconds duration of the fault
+     * @param share fraction of the replicas that are affected
+     * @param factor factor by which durations are multiplied; used by {@link FaultKind#SLOW} only
      */
     record Fault(FaultKind kind, double atSeconds, double forSeconds, double share, double factor) {
         Fault {
--- a/standin/src/main/java/org/streamring/standin/model/ScenarioException.java
+++ b/standin/src/main/java/org/streamring/standin/model/ScenarioException.java
@@ -1,6 +1,6 @@
 package org.streamring.standin.model;
 
-/** A scenario that can't be read; the message says why. */
+/** Thrown when a scenario can't be read; the message contains the file and the reason. */
 final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/standin/src/main/java/org/streamring/standin/model/ScenarioReader.java
+++ b/standin/src/main/java/org/streamring/standin/model/ScenarioReader.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.stream.Collectors;
 
-/** Reads scenarios in TOML; every key must be there, and none that is not known. */
+/** Reads scenarios in TOML; missing and unknown keys are errors. */
 final class ScenarioReader {
     private final TomlMapper toml = TomlMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The first part of the parser's message, which names the key or value, and the keys that lead there. */
+    /** Returns the first part of the parser's message, which names the key or value, followed by the path of keys. */
     private static String problem(JsonProcessingException failure) {
         String what = failure.getOriginalMessage().split("; ", 2)[0].replace("creator property", "key");
         if (failure instanceof JsonMappingException mapping
--- a/standin/src/main/java/org/streamring/standin/model/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/model/package-info.java
@@ -1,4 +1,4 @@
-/** Engines, plain services and a fleet of entries in simulated time, where ways of deciding are compared in seconds. */
+/** Simulation of engines, plain services and a fleet of entries, which compares wait policies within seconds. */
 @NullMarked
 package org.streamring.standin.model;
 
--- a/standin/src/test/java/org/streamring/standin/model/LoadDayTest.java
+++ b/standin/src/test/java/org/streamring/standin/model/LoadSimulationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-public class LoadDayTest {
+public class LoadSimulationTest {
     private static final Path EXAMPLES = Path.of("..", "examples");
     private static final int SEEDS = 4;
 
@@ -25,27 +25,27 @@
 
     @Test
     public void theSameSeedGivesTheSameDay() {
-        LoadTally first = new LoadDay(calm, way("fixed"), 7).play();
-        LoadTally second = new LoadDay(calm, way("fixed"), 7).play();
+        LoadStatistics first = new LoadSimulation(calm, choice("fixed"), 7).run();
+        LoadStatistics second = new LoadSimulation(calm, choice("fixed"), 7).run();
         assertThat(first.worth()).isEqualTo(second.worth());
         assertThat(first.tokensRead()).isEqualTo(second.tokensRead());
     }
 
     @Test
     public void everyCallEndsOnce() {
-        LoadTally day = new LoadDay(worst, way("fixed"), 1).play();
+        LoadStatistics run = new LoadSimulation(worst, choice("fixed"), 1).run();
         for (Scenario.Kind kind : worst.kinds()) {
             double sum = 0;
             for (Call.Outcome outcome : Call.Outcome.values()) {
-                sum += day.share(kind.name(), outcome);
+                sum += run.share(kind.name(), outcome);
             }
             assertThat(sum).as(kind.name()).isCloseTo(1, within(1e-9));
         }
     }
 
     @Test
-    public void faultsAndBurstsCostWorth() {
-        assertThat(mean(worst, "fixed", LoadTally::worstSlice)).isLessThan(0.85);
+    public void faultsAndBurstsReduceWorth() {
+        assertThat(mean(worst, "fixed", LoadStatistics::worstSlice)).isLessThan(0.85);
         Scenario without = new Scenario(
                 "quiet",
                 worst.seconds(),
@@ -56,36 +56,38 @@
                 worst.kinds(),
                 List.of(),
                 List.of());
-        assertThat(mean(without, "fixed", LoadTally::worth)).isGreaterThan(mean(worst, "fixed", LoadTally::worth));
+        assertThat(mean(without, "fixed", LoadStatistics::worth))
+                .isGreaterThan(mean(worst, "fixed", LoadStatistics::worth));
     }
 
-    /** A third of 38 engines is back cold at once, with 190 prompts a second; each bears 20 in a second. */
+    /** A third of 38 engines restarts cold at the same time under 190 prompts/s; each tolerates 20 in a second. */
     @Test
-    public void noColdReplicaFallsOver() {
-        assertThat(mean(worst, "fixed", day -> day.coldOverloads())).isZero();
+    public void noColdReplicaIsOverloaded() {
+        assertThat(mean(worst, "fixed", run -> run.coldOverloads())).isZero();
     }
 
     /**
-     * One entry gets a busy account's callers. Its plain calls that found no place were held for 80 ms and told to come
-     * back after 250; turned away at once, with 20 ms, more of them are served in time by other entries.
+     * All callers of a busy account use one entry. With the fixed window, plain calls that found no slot there waited
+     * for 80 ms and were asked to retry after 250 ms. If they are refused at once and retry after 20 ms, other entries
+     * serve more of them in time.
      */
     @Test
-    public void plainCallsAreInTimeMoreOftenIfTurnedAwayAtOnce() {
-        double held = mean(calm, "fixed", day -> day.share("report", Call.Outcome.IN_TIME));
-        double atOnce = mean(calm, "refuse", day -> day.share("report", Call.Outcome.IN_TIME));
+    public void plainCallsAreInTimeMoreOftenIfRefusedAtOnce() {
+        double held = mean(calm, "fixed", run -> run.share("report", Call.Outcome.IN_TIME));
+        double atOnce = mean(calm, "refuse", run -> run.share("report", Call.Outcome.IN_TIME));
         assertThat(atOnce).isGreaterThan(held + 0.005);
     }
 
-    private static double mean(Scenario scenario, String way, ToDoubleFunction<LoadTally> figure) {
+    private static double mean(Scenario scenario, String choice, ToDoubleFunction<LoadStatistics> figure) {
         return LongStream.range(0, SEEDS)
                 .parallel()
-                .mapToObj(seed -> new LoadDay(scenario, way(way), seed).play())
+                .mapToObj(seed -> new LoadSimulation(scenario, choice(choice), seed).run())
                 .mapToDouble(figure)
                 .average()
                 .orElseThrow();
     }
 
-    private static Way way(String name) {
-        return Way.named(name).orElseThrow();
+    private static WaitPolicyChoice choice(String name) {
+        return WaitPolicyChoice.named(name).orElseThrow();
     }
 }
--- a/standin/src/test/java/org/streamring/standin/model/ScenarioReaderTest.java
+++ b/standin/src/test/java/org/streamring/standin/model/ScenarioReaderTest.java
@@ -13,7 +13,7 @@
     private static final Path CALM = Path.of("..", "examples", "load-calm.toml");
 
     @DataProvider
-    public Object[][] mistakes() {
+    public Object[][] invalidScenarios() {
         return new Object[][] {
             {"slots = 64", "slotss = 64", "slots"},
             {"slots = 64", "", "slots"},
@@ -24,25 +24,26 @@
         };
     }
 
-    @Test(dataProvider = "mistakes")
-    public void aMistakeIsNamed(String before, String after, String named) throws IOException {
+    @Test(dataProvider = "invalidScenarios")
+    public void anErrorNamesTheKeyOrValue(String original, String replacement, String expectedMessage)
+            throws IOException {
         Path file = Files.createTempFile("scenario", ".toml");
-        Files.writeString(file, Files.readString(CALM).replace(before, after));
+        Files.writeString(file, Files.readString(CALM).replace(original, replacement));
         assertThatThrownBy(() -> new ScenarioReader().read(file))
                 .isInstanceOf(ScenarioException.class)
                 .hasMessageContaining(file.toString())
-                .hasMessageContaining(named);
+                .hasMessageContaining(expectedMessage);
     }
 
     @Test
-    public void aFileThatIsNotThereIsNamed() {
+    public void aMissingFileIsNamed() {
         assertThatThrownBy(() -> new ScenarioReader().read(Path.of("nothere.toml")))
                 .isInstanceOf(ScenarioException.class)
                 .hasMessageContaining("nothere.toml: can't be read");
     }
 
     @Test
-    public void theExamplesAreRead() throws ScenarioException {
+    public void theExampleIsRead() throws ScenarioException {
         assertThat(new ScenarioReader().read(CALM).kinds()).hasSize(5);
     }
 }
