--- a/standin/src/main/java/org/streamring/standin/experiment/ExperimentResult.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/ExperimentResult.java
@@ -1,20 +1,21 @@
 package org.streamring.standin.experiment;
 
 /**
- * What an experiment counted.
+ * Counts of a ledger experiment.
  *
  * @param scenario name of the scenario
- * @param variant name of the settings
- * @param requests requests made
- * @param falseRefusals refused although tokens remained anywhere
- * @param outOfReach false refusals for which neither the table nor any entry in reach had enough in one place
- * @param refusals all refusals
- * @param overspentTokens tokens run beyond the budget
- * @param unbilledTokens tokens run that neither bills nor held tokens cover
- * @param doubleBills attempts billed more than once
- * @param transactions store transactions
- * @param settleLagMillis sum of the times from the end of a request to its settlement
- * @param settled settled requests
+ * @param variant name of the ledger settings
+ * @param requests number of requests
+ * @param falseRefusals requests refused although the budget still had enough unspent tokens
+ * @param outOfReach false refusals for which neither the table nor a single reachable entry had enough tokens
+ * @param refusals number of all refusals
+ * @param overspentTokens tokens spent in excess of the budget
+ * @param unbilledTokens difference between settled and billed tokens, plus the number of attempts billed with a wrong
+ *     number of tokens
+ * @param doubleBills number of repeated bills for an attempt
+ * @param transactions number of store transactions
+ * @param settleLagMillis sum of the times from the end of each request to its settlement
+ * @param settled number of settled requests
  */
 public record ExperimentResult(
         String scenario,
@@ -30,24 +31,24 @@
         long settleLagMillis,
         long settled) {
 
-    private static final double THOUSAND = 1000.0;
+    private static final double PER_THOUSAND = 1000.0;
 
-    /** False refusals per 1,000 requests. */
-    public double falsePerThousand() {
-        return THOUSAND * falseRefusals / Math.max(1, requests);
+    /** Returns the false refusals per 1,000 requests. */
+    public double falseRefusalsPerThousand() {
+        return PER_THOUSAND * falseRefusals / Math.max(1, requests);
     }
 
-    /** Store transactions per 1,000 requests. */
+    /** Returns the store transactions per 1,000 requests. */
     public double transactionsPerThousand() {
-        return THOUSAND * transactions / Math.max(1, requests);
+        return PER_THOUSAND * transactions / Math.max(1, requests);
     }
 
-    /** Mean time from the end of a request to its settlement, in seconds. */
+    /** Returns the mean time in seconds from the end of a request to its settlement. */
     public double settleLagSeconds() {
-        return settleLagMillis / THOUSAND / Math.max(1, settled);
+        return settleLagMillis / PER_THOUSAND / Math.max(1, settled);
     }
 
-    /** Sums results of several seeds. */
+    /** Returns the sum of this result and the result of another seed. */
     public ExperimentResult plus(ExperimentResult other) {
         return new ExperimentResult(
                 scenario,
--- a/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
@@ -29,20 +29,19 @@
 import org.streamring.kernel.table.TransactionResult;
 
 /**
- * Drives the kernel's ledgers of a few entries on one budget through a scenario, in steps of 100 ms of its own clock,
- * and
- * counts from outside: an engine's record of what ran, against bills, refusals and the table. It has no network and no
- * routing; those are tested with real processes.
+ * Simulates the lease ledgers of a few entries that share a budget, in steps of 100 ms of simulated time. Compares the
+ * tokens that were actually spent with the bills, the refusals and the rows of the table. Network and routing are not
+ * part of the simulation; they are tested with real processes.
  */
 public final class LedgerExperiment {
     private static final String BUDGET = "budget";
     private static final String SIDECAR = "sidecar~1";
     private static final long TICK_MILLIS = 100;
     private static final long TICKS_PER_SECOND = 10;
-    private static final long PLAN_TICKS = 20;
-    private static final long WAIT_MILLIS = 2_000;
-    private static final long SUSPECT_MILLIS = 30_000;
-    private static final long MILLIS = 1_000;
+    private static final long PLAN_INTERVAL_TICKS = 20;
+    private static final long MAX_WAIT_MILLIS = 2_000;
+    private static final long CLOSE_DELAY_MILLIS = 30_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
     private final Scenario scenario;
     private final String variant;
@@ -50,37 +49,37 @@
     private final SplittableRandom random;
     private final InMemoryTable table = new InMemoryTable();
     private final List<Entry> entries = new ArrayList<>();
-    private final Map<String, Work> planned = new HashMap<>();
-    private final Map<String, Long> ran = new HashMap<>();
-    private long spent;
+    private final Map<String, Work> plannedWork = new HashMap<>();
+    private final Map<String, Long> executedTokens = new HashMap<>();
+    private long spentTokens;
     private final Map<String, Receipt> receipts = new HashMap<>();
     private final Map<String, BillItem> billed = new HashMap<>();
     private final Map<String, Long> endedMillis = new HashMap<>();
     private long nowMillis;
     private long transactions;
-    private long answers;
+    private long results;
     private long requests;
     private long refusals;
     private long falseRefusals;
     private long outOfReach;
     private long settleLagMillis;
     private long doubleBills;
-    private Optional<Entry> dead = Optional.empty();
+    private Optional<Entry> killedEntry = Optional.empty();
 
     private record Running(Reservation reservation, long tokens, long endMillis) {}
 
     private record Work(long tokens, long durationMillis) {}
 
-    private record Waiting(String attempt, long sinceMillis) {}
+    private record WaitingRequest(String attempt, long sinceMillis) {}
 
     private final class Entry {
         private final int index;
         private final LeaseLedger ledger;
         private final PriorityQueue<Running> running =
                 new PriorityQueue<>(Comparator.comparingLong(Running::endMillis));
-        private final List<Waiting> waiting = new ArrayList<>();
+        private final List<WaitingRequest> waiting = new ArrayList<>();
         private int attempts;
-        private boolean storeAway;
+        private boolean storeUnreachable;
 
         private Entry(int index, String incarnation) {
             this.index = index;
@@ -89,7 +88,7 @@
         }
     }
 
-    /** Prepares a run; the same seed gives the same demand whatever the settings. */
+    /** Creates an experiment; the same seed gives the same requests with all settings. */
     public LedgerExperiment(Scenario scenario, String variant, LedgerSettings settings, long seed) {
         this.scenario = scenario;
         this.variant = variant;
@@ -106,13 +105,13 @@
         long ticks = scenario.seconds() * TICKS_PER_SECOND;
         for (long tick = 0; tick < ticks; tick++) {
             nowMillis = tick * TICK_MILLIS;
-            killIfDue();
-            demand();
+            killEntryIfDue();
+            generateRequests();
             for (Entry entry : entries) {
-                endWork(entry);
-                boolean due = (tick + entry.index) % PLAN_TICKS == 0 || !entry.waiting.isEmpty();
+                finishRequests(entry);
+                boolean due = (tick + entry.index) % PLAN_INTERVAL_TICKS == 0 || !entry.waiting.isEmpty();
                 if (due || entry.ledger.wantsPlanSoon()) {
-                    transactAndWake(entry);
+                    transactAndRetryWaiting(entry);
                 }
             }
         }
@@ -130,29 +129,29 @@
     }
 
     private double seconds() {
-        return nowMillis / (double) MILLIS;
+        return nowMillis / (double) MILLIS_PER_SECOND;
     }
 
-    private void demand() {
+    private void generateRequests() {
         double perTick = scenario.requestsPerSecond() / TICKS_PER_SECOND;
         int count = (int) perTick + (random.nextDouble() < perTick % 1 ? 1 : 0);
         for (int i = 0; i < count; i++) {
-            int target = skewedEntry();
+            int target = drawEntry();
             long tokens = Math.min(scenario.worstCase(), 1 + (long) (scenario.average() * 2 * random.nextDouble()));
-            long duration = MILLIS + random.nextLong(4 * MILLIS);
+            long duration = MILLIS_PER_SECOND + random.nextLong(4 * MILLIS_PER_SECOND);
             request(entries.get(target), tokens, duration);
         }
     }
 
-    private int skewedEntry() {
+    private int drawEntry() {
         double total = 0;
         for (int i = 0; i < scenario.entries(); i++) {
             total += Math.pow(scenario.skew(), -i);
         }
-        double left = random.nextDouble() * total;
+        double remainingWeight = random.nextDouble() * total;
         for (int i = 0; i < scenario.entries(); i++) {
-            left -= Math.pow(scenario.skew(), -i);
-            if (left < 0) {
+            remainingWeight -= Math.pow(scenario.skew(), -i);
+            if (remainingWeight < 0) {
                 return i;
             }
         }
@@ -162,19 +161,19 @@
     private void request(Entry entry, long tokens, long duration) {
         requests++;
         String attempt = entry.ledger.incarnation() + "#" + ++entry.attempts;
-        planned.put(attempt, new Work(tokens, duration));
-        tryReserve(entry, new Waiting(attempt, nowMillis), true);
+        plannedWork.put(attempt, new Work(tokens, duration));
+        tryReserve(entry, new WaitingRequest(attempt, nowMillis), true);
     }
 
-    /** Returns whether the request need not wait any longer. */
-    private boolean tryReserve(Entry entry, Waiting waiting, boolean mayWait) {
+    /** Tries to reserve tokens; returns whether the request was started or refused, so that it no longer waits. */
+    private boolean tryReserve(Entry entry, WaitingRequest waiting, boolean mayWait) {
         ReserveResult result = entry.ledger.reserve(waiting.attempt(), BUDGET, scenario.worstCase(), nowMillis);
         if (result instanceof ReserveResult.Reserved reserved) {
             start(entry, reserved.reservation());
             return true;
         }
-        boolean late = nowMillis - waiting.sinceMillis() >= WAIT_MILLIS;
-        if (result instanceof ReserveResult.NeedsLease && !entry.storeAway && !late) {
+        boolean waitedTooLong = nowMillis - waiting.sinceMillis() >= MAX_WAIT_MILLIS;
+        if (result instanceof ReserveResult.NeedsLease && !entry.storeUnreachable && !waitedTooLong) {
             if (mayWait) {
                 entry.waiting.add(waiting);
             }
@@ -185,9 +184,9 @@
     }
 
     private void start(Entry entry, Reservation reservation) {
-        Work work = planned.remove(reservation.attempt());
-        ran.put(reservation.attempt(), work.tokens());
-        spent += work.tokens();
+        Work work = plannedWork.remove(reservation.attempt());
+        executedTokens.put(reservation.attempt(), work.tokens());
+        spentTokens += work.tokens();
         receipts.put(reservation.attempt(), receipt(reservation, work.tokens()));
         entry.running.add(new Running(reservation, work.tokens(), nowMillis + work.durationMillis()));
     }
@@ -205,19 +204,19 @@
                 true);
     }
 
-    /** A refusal is false if what has not run yet would have covered the request. */
+    /** Counts a refusal, which is false if the unspent tokens of the budget would have covered the request. */
     private void refuse(Entry entry) {
         refusals++;
-        if (scenario.budgetTokens() - spent >= scenario.worstCase()) {
+        if (scenario.budgetTokens() - spentTokens >= scenario.worstCase()) {
             falseRefusals++;
-            if (!inReach(entry)) {
+            if (!availableInReach(entry)) {
                 outOfReach++;
             }
         }
     }
 
-    /** Whether the table, or an entry in reach, has enough for one request in one place. */
-    private boolean inReach(Entry entry) {
+    /** Returns whether the table or a single reachable entry has enough tokens for a request. */
+    private boolean availableInReach(Entry entry) {
         if (!reachable(entry)) {
             return false;
         }
@@ -230,16 +229,16 @@
         return Math.max(remaining, largest) >= scenario.worstCase();
     }
 
-    private void endWork(Entry entry) {
+    private void finishRequests(Entry entry) {
         while (!entry.running.isEmpty() && entry.running.peek().endMillis() <= nowMillis) {
             Running done = entry.running.poll();
             endedMillis.put(done.reservation().attempt(), nowMillis);
             entry.ledger.finish(
-                    done.reservation(), item(receipts.get(done.reservation().attempt())), nowMillis);
+                    done.reservation(), billItem(receipts.get(done.reservation().attempt())), nowMillis);
         }
     }
 
-    private static BillItem item(Receipt receipt) {
+    private static BillItem billItem(Receipt receipt) {
         return new BillItem(
                 receipt.attempt(),
                 receipt.requestKey(),
@@ -254,16 +253,16 @@
                 0);
     }
 
-    private void transactAndWake(Entry entry) {
-        look(entry);
+    private void transactAndRetryWaiting(Entry entry) {
+        readRemaining(entry);
         Optional<LedgerPlan> plan = entry.ledger.plan(nowMillis);
         if (plan.isPresent()) {
-            entry.storeAway = !apply(entry, plan.get());
+            entry.storeUnreachable = !apply(entry, plan.get());
         }
         entry.waiting.removeIf(waiting -> tryReserve(entry, waiting, false));
     }
 
-    private void look(Entry entry) {
+    private void readRemaining(Entry entry) {
         for (String budget : entry.ledger.budgetsToLookAt(nowMillis)) {
             if (reachable(entry)) {
                 long remaining =
@@ -274,9 +273,9 @@
     }
 
     private boolean reachable(Entry entry) {
-        boolean away = scenario.storeAway().stream().anyMatch(span -> span.contains(seconds()));
-        boolean cut = entry.index == 0 && scenario.cutOff().stream().anyMatch(span -> span.contains(seconds()));
-        return !away && !cut;
+        boolean storeOutage = scenario.storeAway().stream().anyMatch(span -> span.contains(seconds()));
+        boolean cutOff = entry.index == 0 && scenario.cutOff().stream().anyMatch(span -> span.contains(seconds()));
+        return !storeOutage && !cutOff;
     }
 
     private boolean apply(Entry entry, LedgerPlan plan) {
@@ -285,8 +284,8 @@
         }
         transactions++;
         TransactionResult result = table.transact(plan.transaction());
-        answers++;
-        if (scenario.loseEvery() > 0 && answers % scenario.loseEvery() == 0 && plan.sequence() > 1) {
+        results++;
+        if (scenario.loseEvery() > 0 && results % scenario.loseEvery() == 0 && plan.sequence() > 1) {
             return true;
         }
         LedgerStep step = entry.ledger.resolve(result, nowMillis);
@@ -306,18 +305,18 @@
         settleLagMillis += Math.max(0, nowMillis - endedMillis.getOrDefault(item.attempt(), nowMillis));
     }
 
-    private void killIfDue() {
-        if (scenario.killed() >= 0 && nowMillis == scenario.killed() * MILLIS) {
+    private void killEntryIfDue() {
+        if (scenario.killed() >= 0 && nowMillis == scenario.killed() * MILLIS_PER_SECOND) {
             Entry killed = entries.get(0);
-            dead = Optional.of(killed);
+            killedEntry = Optional.of(killed);
             entries.set(0, new Entry(0, "entry-0~2"));
         }
-        boolean closingDue = dead.isPresent()
-                && nowMillis >= scenario.killed() * MILLIS + SUSPECT_MILLIS
+        boolean closingDue = killedEntry.isPresent()
+                && nowMillis >= scenario.killed() * MILLIS_PER_SECOND + CLOSE_DELAY_MILLIS
                 && reachable(entries.get(entries.size() - 1));
         if (closingDue) {
-            close(dead.get());
-            dead = Optional.empty();
+            close(killedEntry.get());
+            killedEntry = Optional.empty();
         }
     }
 
@@ -326,12 +325,12 @@
         LeaseCloser closer = new LeaseCloser("closer~1");
         transact(closer.markClosing(entryRow(incarnation)));
         Set<String> settled = new HashSet<>(billed.keySet());
-        List<Receipt> left = receipts.values().stream()
+        List<Receipt> unsettled = receipts.values().stream()
                 .filter(receipt -> !settled.contains(receipt.attempt()))
                 .filter(receipt -> receipt.leaseId().startsWith(incarnation + "/"))
                 .toList();
         LeaseCloser.Findings findings =
-                new LeaseCloser.Findings(List.of(SIDECAR), List.of(new PeerReceipts(SIDECAR, left)), List.of());
+                new LeaseCloser.Findings(List.of(SIDECAR), List.of(new PeerReceipts(SIDECAR, unsettled)), List.of());
         List<Row> leases = table.scan(RowKeys.leasesOf(incarnation), "", LeaseCloser.MAX_LEASES);
         LeaseCloser.Settlement settlement = closer.settle(entryRow(incarnation), leases, findings, nowMillis);
         transact(settlement.transaction());
@@ -348,15 +347,15 @@
         transactions++;
         TransactionResult result = table.transact(transaction);
         if (!(result instanceof TransactionResult.Committed)) {
-            throw new IllegalStateException("closing was rejected: " + result);
+            throw new IllegalStateException("transaction of the lease closer was rejected: " + result);
         }
     }
 
     private ExperimentResult result() {
         long settled = table.read(List.of(RowKeys.settled(BUDGET))).get(0).amount();
         long billedTokens = billed.values().stream().mapToLong(BillItem::tokens).sum();
-        long wrong = billed.values().stream()
-                .filter(item -> !ran.get(item.attempt()).equals(item.tokens()))
+        long misbilledAttempts = billed.values().stream()
+                .filter(item -> !executedTokens.get(item.attempt()).equals(item.tokens()))
                 .count();
         return new ExperimentResult(
                 scenario.name(),
@@ -365,8 +364,8 @@
                 falseRefusals,
                 outOfReach,
                 refusals,
-                Math.max(0, spent - scenario.budgetTokens()),
-                Math.abs(settled - billedTokens) + wrong,
+                Math.max(0, spentTokens - scenario.budgetTokens()),
+                Math.abs(settled - billedTokens) + misbilledAttempts,
                 doubleBills,
                 transactions,
                 settleLagMillis,
--- a/standin/src/main/java/org/streamring/standin/experiment/MeasureCommand.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/MeasureCommand.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.streamring.kernel.ledger.LedgerSettings;
 
-/** Runs every scenario with every set of settings, side by side, and prints a table. */
+/** Runs each ledger scenario with each set of ledger settings and prints a table for comparison. */
 @Command(name = "measure", description = "Measure false refusals, overspend and store writes per fault; fixed seeds")
 public final class MeasureCommand implements Runnable {
     private static final String FORMAT = "%-30s %-9s %9s %8s %8s %10s %9s %7s %5s %8s%n";
@@ -61,11 +61,11 @@
     }
 
     private ExperimentResult run(Scenario scenario, String name, LedgerSettings settings) {
-        ExperimentResult sum = new LedgerExperiment(scenario, name, settings, 1).run();
+        ExperimentResult total = new LedgerExperiment(scenario, name, settings, 1).run();
         for (int seed = 2; seed <= seeds; seed++) {
-            sum = sum.plus(new LedgerExperiment(scenario, name, settings, seed).run());
+            total = total.plus(new LedgerExperiment(scenario, name, settings, seed).run());
         }
-        return sum;
+        return total;
     }
 
     private static void print(ExperimentResult result) {
@@ -75,7 +75,7 @@
                 result.scenario(),
                 result.variant(),
                 result.requests(),
-                "%.2f".formatted(result.falsePerThousand()),
+                "%.2f".formatted(result.falseRefusalsPerThousand()),
                 "%.2f".formatted(1000.0 * result.outOfReach() / result.requests()),
                 "%.1f".formatted(1000.0 * result.refusals() / result.requests()),
                 "%.1f".formatted(result.transactionsPerThousand()),
--- a/standin/src/main/java/org/streamring/standin/experiment/Subjects.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/MeasuredSubjects.java
@@ -47,37 +47,37 @@
 import org.streamring.net.generated.Wire.Ping;
 import org.streamring.net.generated.Wire.Pong;
 
-/** The things whose cost is measured. */
-final class Subjects {
+/** Creates the objects and operations whose memory and time are measured. */
+final class MeasuredSubjects {
     private static final int LENGTH_PREFIX_BYTES = 4;
     private static final int BUDGETS_PER_STEP = 15;
-    private static final int MARKS_PER_PROMPT = 6;
+    private static final int HASHES_PER_PROMPT = 6;
     private static final int PROMPT_BYTES = 4_096;
     private static final int PROMPT_WORDS = 700;
 
-    private Subjects() {}
+    private MeasuredSubjects() {}
 
     /**
      * A size in bytes.
      *
-     * @param name what it is the size of
-     * @param bytes the size
+     * @param name name of the measured object, printed in the table of results
+     * @param bytes size in bytes
      */
     record Size(String name, int bytes) {}
 
     static Object leases(int count) {
         InMemoryTable table = new InMemoryTable();
         LeaseLedger ledger = new LeaseLedger("entry-1~000000000000", "127.0.0.1:8080", LedgerSettings.patient());
-        step(ledger, table);
+        runStep(ledger, table);
         for (int i = 0; i < count; i++) {
             grant(table, "budget-" + i);
             ledger.reserve("attempt-" + i, "budget-" + i, 100, 0);
             if (i % BUDGETS_PER_STEP == 0) {
-                step(ledger, table);
+                runStep(ledger, table);
             }
         }
         while (ledger.openLeases() < count) {
-            step(ledger, table);
+            runStep(ledger, table);
         }
         return ledger;
     }
@@ -86,11 +86,11 @@
         table.transact(new Transaction("g", List.of(new RowOperation.Insert(RowKeys.remaining(budget), 1L << 40, ""))));
     }
 
-    private static void step(LeaseLedger ledger, InMemoryTable table) {
+    private static void runStep(LeaseLedger ledger, InMemoryTable table) {
         ledger.plan(0).ifPresent(plan -> {
             LedgerStep step = ledger.resolve(table.transact(plan.transaction()), 0);
             if (!(step instanceof LedgerStep.Done)) {
-                throw new IllegalStateException("unexpected: " + step);
+                throw new IllegalStateException("ledger step not done: " + step);
             }
         });
     }
@@ -124,37 +124,37 @@
                 5);
     }
 
-    private static ReceiptBook book() {
+    private static ReceiptBook receiptStore() {
         return new ReceiptBook(new ReceiptBookSettings(
                 Integer.MAX_VALUE / 100, Duration.ofMinutes(10), 1L << 40, Duration.ofHours(24), Integer.MAX_VALUE));
     }
 
     static Object receipts(int count) {
-        ReceiptBook book = book();
+        ReceiptBook receiptStore = receiptStore();
         for (int i = 0; i < count; i++) {
-            book.admit(order(i, true), 0);
-            book.end(order(i, true), Usage.ofModel(100, 200), 0, 0);
+            receiptStore.admit(order(i, true), 0);
+            receiptStore.end(order(i, true), Usage.ofModel(100, 200), 0, 0);
         }
-        return book;
+        return receiptStore;
     }
 
     static Object rememberedRequests(int count) {
-        ReceiptBook book = book();
+        ReceiptBook receiptStore = receiptStore();
         List<String> leases = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             AttemptOrder order = order(i, false);
-            book.admit(order, 0);
-            book.end(order, Usage.NONE, 0, 0);
+            receiptStore.admit(order, 0);
+            receiptStore.end(order, Usage.NONE, 0, 0);
             leases.add(order.leaseId());
         }
-        book.forgetLeases(leases);
-        return book;
+        receiptStore.forgetLeases(leases);
+        return receiptStore;
     }
 
-    /** Prompts without a common beginning; each leaves six marks. */
-    static Object promptMarks(int count) {
+    /** Creates an index of prompts without a common prefix, which stores six hashes for each prompt. */
+    static Object prefixHashes(int count) {
         PrefixIndex index = new PrefixIndex();
-        for (int i = 0; i < count; i += MARKS_PER_PROMPT) {
+        for (int i = 0; i < count; i += HASHES_PER_PROMPT) {
             index.placed(PromptPrefix.of(prompt(i)), "server-" + i % 32);
         }
         return index;
@@ -182,8 +182,8 @@
                 selector.choose(table.candidates("llm", incarnation -> true, 0), RouteQuery.FIRST_TRY, Candidate::load);
     }
 
-    /** Reserving and finishing on one of many budgets, with the look that follows whether something is urgent. */
-    static Runnable reserveAmong(int budgets) {
+    /** Reserves and releases tokens of one of many budgets, followed by the check for an urgent ledger plan. */
+    static Runnable reserveAmongBudgets(int budgets) {
         LeaseLedger ledger = (LeaseLedger) leases(budgets);
         AtomicLong counter = new AtomicLong();
         return () -> {
@@ -201,10 +201,10 @@
     static Runnable reserveAndFinish() {
         InMemoryTable table = new InMemoryTable();
         LeaseLedger ledger = new LeaseLedger("entry-1~0", "", LedgerSettings.fixed(1L << 39));
-        step(ledger, table);
+        runStep(ledger, table);
         grant(table, "budget");
         ledger.reserve("first", "budget", 1, 0);
-        step(ledger, table);
+        runStep(ledger, table);
         AtomicLong counter = new AtomicLong();
         return () -> {
             String attempt = "attempt-" + counter.incrementAndGet();
@@ -218,12 +218,12 @@
     }
 
     static Runnable admitAndEnd() {
-        ReceiptBook book = book();
+        ReceiptBook receiptStore = receiptStore();
         AtomicLong counter = new AtomicLong();
         return () -> {
             AttemptOrder order = order((int) counter.incrementAndGet(), true);
-            book.admit(order, 0);
-            book.end(order, Usage.ofModel(1, 2), 0, 0);
+            receiptStore.admit(order, 0);
+            receiptStore.end(order, Usage.ofModel(1, 2), 0, 0);
         };
     }
 
@@ -247,7 +247,7 @@
     private static void evaluate(CompiledPolicy policy, PolicyInput input, CandidateInput candidate) {
         try {
             if (policy.admits(input) && policy.rank(input) + policy.score(input, candidate) < 0) {
-                throw new IllegalStateException("can't be negative");
+                throw new IllegalStateException("rank and score of the policy must not be negative");
             }
         } catch (PolicyException e) {
             throw new IllegalStateException(e);
@@ -262,7 +262,7 @@
                 version, "00000000-0000-0000-0000-000000000000", "operator", 0, "apply", List.of(item), List.of());
     }
 
-    /** With 100 accounts declared, since all of them are put together anew. */
+    /** Applies a change to a configuration of 100 accounts, since a change rebuilds all of them. */
     static Runnable changeApplied() {
         ConfigurationHolder holder = (ConfigurationHolder) configuration(100);
         AtomicLong version = new AtomicLong(1);
--- a/standin/src/main/java/org/streamring/standin/experiment/OverheadCommand.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/OverheadCommand.java
@@ -14,10 +14,11 @@
 import org.asynchttpclient.Dsl;
 import org.asynchttpclient.RequestBuilder;
 
-/** Sends streamed completions through an entry and, in turn, directly to an engine, and compares. */
+/** Sends streamed completions alternately through an entry and directly to an engine, and compares their times. */
 @Command(
         name = "overhead",
-        description = "Send completions through an entry and directly to an engine in turn, and compare")
+        description =
+                "Send completions alternately through an entry and directly to an engine, and compare their times")
 public final class OverheadCommand implements Runnable {
     private static final String FORMAT = "%-10s %8s %8s %14s %14s %14s %14s%n";
     private static final long MAX_MICROS = 600_000_000L;
@@ -26,46 +27,46 @@
     @Required
     private String entry = "";
 
-    @Option(name = "--engine", description = "Address of an engine; none if left out")
+    @Option(name = "--engine", description = "Address of an engine; without it, only the entry is measured")
     private String engine = "";
 
     @Option(name = "--key", description = "Key of a client account")
     @Required
     private String key = "";
 
-    @Option(name = "--model", description = "Model")
+    @Option(name = "--model", description = "Name of the model")
     private String model = "assist";
 
-    @Option(name = "--requests", description = "Requests through the entry")
+    @Option(name = "--requests", description = "Number of requests through the entry")
     private int requests = 200;
 
-    @Option(name = "--tokens", description = "Tokens of each answer")
+    @Option(name = "--tokens", description = "Number of tokens of each answer")
     private int tokens = 50;
 
-    @Option(name = "--concurrency", description = "Requests at the same time")
+    @Option(name = "--concurrency", description = "Number of concurrent requests")
     private int concurrency = 1;
 
-    private static final class Path {
+    private static final class PathStatistics {
         private final String name;
         private final Histogram first = new Histogram(MAX_MICROS, 3);
         private final Histogram gap = new Histogram(MAX_MICROS, 3);
         private final Histogram total = new Histogram(MAX_MICROS, 3);
-        private final AtomicInteger good = new AtomicInteger();
-        private final AtomicInteger bad = new AtomicInteger();
+        private final AtomicInteger completed = new AtomicInteger();
+        private final AtomicInteger failed = new AtomicInteger();
 
-        private Path(String name) {
+        private PathStatistics(String name) {
             this.name = name;
         }
 
-        private synchronized void add(StreamTimes times) {
-            if (!times.whole()) {
-                bad.incrementAndGet();
+        private synchronized void addResult(StreamTimes times) {
+            if (!times.completed()) {
+                failed.incrementAndGet();
                 return;
             }
-            good.incrementAndGet();
+            completed.incrementAndGet();
             first.recordValue(times.firstMicros());
             total.recordValue(times.totalMicros());
-            gap.recordValue(times.gapMicros());
+            gap.recordValue(times.meanGapMicros());
         }
 
         private void print() {
@@ -73,8 +74,8 @@
                     Locale.ROOT,
                     FORMAT,
                     name,
-                    good,
-                    bad,
+                    completed,
+                    failed,
                     micros(first, 50) + "/" + micros(first, 95),
                     micros(gap, 50) + "/" + micros(gap, 95),
                     micros(total, 50),
@@ -88,25 +89,25 @@
 
     @Override
     public void run() {
-        Path through = new Path("entry");
-        Path direct = new Path("direct");
+        PathStatistics viaEntry = new PathStatistics("entry");
+        PathStatistics direct = new PathStatistics("direct");
         try (AsyncHttpClient client = Dsl.asyncHttpClient(Dsl.config().setMaxRequestRetry(0))) {
-            send(client, through, direct);
+            send(client, viaEntry, direct);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         System.out.printf(FORMAT, "path", "good", "bad", "first p50/95", "gap p50/95", "total p50 us", "total p95 us");
-        through.print();
-        if (direct.good.get() > 0) {
+        viaEntry.print();
+        if (direct.completed.get() > 0) {
             direct.print();
             System.out.printf(
                     Locale.ROOT,
                     "ratio of medians, entry to direct: first %.3f, gap %.3f, total %.3f%n",
-                    ratio(through.first, direct.first),
-                    ratio(through.gap, direct.gap),
-                    ratio(through.total, direct.total));
+                    ratio(viaEntry.first, direct.first),
+                    ratio(viaEntry.gap, direct.gap),
+                    ratio(viaEntry.total, direct.total));
         }
     }
 
@@ -114,12 +115,13 @@
         return one.getValueAtPercentile(50) / (double) Math.max(1, other.getValueAtPercentile(50));
     }
 
-    private void send(AsyncHttpClient client, Path through, Path direct) throws InterruptedException {
-        int calls = engine.isEmpty() ? requests : 2 * requests;
+    private void send(AsyncHttpClient client, PathStatistics viaEntry, PathStatistics direct)
+            throws InterruptedException {
+        int totalRequests = engine.isEmpty() ? requests : 2 * requests;
         Semaphore slots = new Semaphore(concurrency);
-        CountDownLatch done = new CountDownLatch(calls);
+        CountDownLatch done = new CountDownLatch(totalRequests);
         for (int i = 0; i < requests; i++) {
-            start(client, entry, through, slots, done);
+            start(client, entry, viaEntry, slots, done);
             if (!engine.isEmpty()) {
                 start(client, engine, direct, slots, done);
             }
@@ -127,7 +129,7 @@
         done.await();
     }
 
-    private void start(AsyncHttpClient client, String base, Path path, Semaphore slots, CountDownLatch done)
+    private void start(AsyncHttpClient client, String base, PathStatistics path, Semaphore slots, CountDownLatch done)
             throws InterruptedException {
         slots.acquire();
         String body = """
@@ -140,7 +142,7 @@
                 .setBody(body);
         StreamTimes times = new StreamTimes();
         client.executeRequest(request, times).toCompletableFuture().whenComplete((ignored, problem) -> {
-            path.add(times);
+            path.addResult(times);
             slots.release();
             done.countDown();
         });
--- a/standin/src/main/java/org/streamring/standin/experiment/Scenario.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/Scenario.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * A course of events for a ledger experiment. Times are in seconds from the start.
+ * Load and faults of a ledger experiment. Times are in seconds from the start.
  *
- * @param name name in the table
- * @param seconds length
+ * @param name name printed in the table of results
+ * @param seconds length of the experiment
  * @param entries number of entries
  * @param budgetTokens tokens of the budget
- * @param requestsPerSecond demand over all entries
- * @param skew how much more demand each entry has than the next; 1 for equal
- * @param worstCase tokens reserved by a request
- * @param average tokens spent by a request on average
- * @param storeAway when the table does not answer
- * @param cutOff when the first entry can't reach the table
- * @param loseEvery every n-th transaction's answer is lost; 0 for none
- * @param killed when the first entry is killed and replaced; negative for never
+ * @param requestsPerSecond request rate of all entries together
+ * @param skew ratio of the request rate of an entry to that of the next one; 1 for equal rates
+ * @param worstCase tokens reserved for a request
+ * @param average mean number of tokens spent by a request
+ * @param storeAway periods in which no entry can reach the table
+ * @param cutOff periods in which the first entry can't reach the table
+ * @param loseEvery n if the result of each n-th transaction is lost; 0 if none is lost
+ * @param killed time at which the first entry is killed and replaced by a new incarnation; negative for never
  */
 public record Scenario(
         String name,
@@ -33,10 +33,10 @@
         int killed) {
 
     /**
-     * A span of time.
+     * A period of time.
      *
-     * @param from start, in seconds
-     * @param until end, in seconds
+     * @param from start in seconds (inclusive)
+     * @param until end in seconds (exclusive)
      */
     public record Span(int from, int until) {
         boolean contains(double seconds) {
@@ -44,13 +44,13 @@
         }
     }
 
-    /** Copies the lists. */
+    /** Creates a scenario with immutable copies of the lists. */
     public Scenario {
         storeAway = List.copyOf(storeAway);
         cutOff = List.copyOf(cutOff);
     }
 
-    /** The rows of the table. */
+    /** Returns all scenarios, in the order of the table of results. */
     public static List<Scenario> all() {
         long ample = 20_000_000;
         List<Span> none = List.of();
--- a/standin/src/main/java/org/streamring/standin/experiment/SlopesCommand.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/SlopesCommand.java
@@ -7,7 +7,7 @@
 import java.util.function.IntFunction;
 import org.streamring.kernel.ledger.LedgerSettings;
 
-/** Measures what one more of a thing costs, each at three sizes, with the slope fitted through them. */
+/** Measures the memory and time per lease, receipt, candidate and so on at several sizes, and the slopes of memory. */
 @Command(
         name = "slopes",
         description = "Measure bytes and time per lease, receipt, candidate and so on; for the capacity page")
@@ -20,32 +20,33 @@
     @Override
     public void run() {
         System.out.printf(FORMAT, "what", "size", "measured", "per unit");
-        bytes("bytes per lease held by an entry", Subjects::leases);
-        bytes("bytes per budget and account known", Subjects::configuration);
-        bytes("bytes per receipt at a sidecar", Subjects::receipts);
-        bytes("bytes per remembered request", Subjects::rememberedRequests);
-        bytes("bytes per mark of a prompt's beginning", Subjects::promptMarks);
+        measureBytes("bytes per lease held by an entry", MeasuredSubjects::leases);
+        measureBytes("bytes per budget and account known", MeasuredSubjects::configuration);
+        measureBytes("bytes per receipt at a sidecar", MeasuredSubjects::receipts);
+        measureBytes("bytes per remembered request", MeasuredSubjects::rememberedRequests);
+        measureBytes("bytes per mark of a prompt's beginning", MeasuredSubjects::prefixHashes);
         for (int size : CANDIDATES) {
-            nanos("ns per choice among candidates", size, Subjects.choice(size));
+            measureNanos("ns per choice among candidates", size, MeasuredSubjects.choice(size));
         }
         for (int size : SIZES) {
-            nanos("ns per request, budgets held", size, Subjects.reserveAmong(size));
+            measureNanos("ns per request, budgets held", size, MeasuredSubjects.reserveAmongBudgets(size));
         }
-        nanos("ns per reserve and finish", 1, Subjects.reserveAndFinish());
-        nanos("ns per admit and end of an attempt", 1, Subjects.admitAndEnd());
-        nanos("ns per policy evaluation (3 parts)", 1, Subjects.policy());
-        nanos("ns per 32 KB prompt marked", 1, Subjects.prefixHashing());
-        nanos("ns per change row read and applied", 1, Subjects.changeApplied());
-        Subjects.frameSizes().forEach(size -> System.out.printf(FORMAT, size.name(), 1, size.bytes(), size.bytes()));
-        writes();
+        measureNanos("ns per reserve and finish", 1, MeasuredSubjects.reserveAndFinish());
+        measureNanos("ns per admit and end of an attempt", 1, MeasuredSubjects.admitAndEnd());
+        measureNanos("ns per policy evaluation (3 parts)", 1, MeasuredSubjects.policy());
+        measureNanos("ns per 32 KB prompt marked", 1, MeasuredSubjects.prefixHashing());
+        measureNanos("ns per change row read and applied", 1, MeasuredSubjects.changeApplied());
+        MeasuredSubjects.frameSizes()
+                .forEach(size -> System.out.printf(FORMAT, size.name(), 1, size.bytes(), size.bytes()));
+        measureWrites();
     }
 
-    /** Retained bytes: used heap after collection, with the subject held, less that before. */
-    private static void bytes(String what, IntFunction<Object> subject) {
+    /** Measures retained bytes: the growth of the used heap after garbage collection while the object is referenced. */
+    private static void measureBytes(String what, IntFunction<Object> subject) {
         List<Double> measured = new ArrayList<>();
         for (int size : SIZES) {
             long before = usedHeap();
-            Object held = subject.apply(size);
+            Object retained = subject.apply(size);
             long after = usedHeap();
             measured.add((double) (after - before));
             System.out.printf(
@@ -55,18 +56,18 @@
                     size,
                     after - before,
                     "%.0f".formatted((after - before) / (double) size));
-            if (held.hashCode() == Integer.MIN_VALUE) {
-                System.out.println(held);
+            if (retained.hashCode() == Integer.MIN_VALUE) {
+                System.out.println(retained);
             }
         }
         double slope = (measured.get(2) - measured.get(0)) / (SIZES[2] - SIZES[0]);
-        double middle = measured.get(0) + slope * (SIZES[1] - SIZES[0]);
+        double interpolated = measured.get(0) + slope * (SIZES[1] - SIZES[0]);
         System.out.printf(
                 Locale.ROOT,
                 FORMAT,
                 "  slope; middle off the line by",
                 "",
-                "%.0f %%".formatted(100 * (measured.get(1) - middle) / middle),
+                "%.0f %%".formatted(100 * (measured.get(1) - interpolated) / interpolated),
                 "%.0f".formatted(slope));
     }
 
@@ -80,14 +81,14 @@
         return used;
     }
 
-    /** Median of nine rounds of 0.1 s, after a warm-up round. */
-    private static void nanos(String what, int size, Runnable once) {
+    /** Measures the duration of an operation: the median of nine rounds of 0.1 s, after a warm-up round. */
+    private static void measureNanos(String what, int size, Runnable operation) {
         List<Double> rounds = new ArrayList<>();
         for (int round = 0; round < 10; round++) {
             long start = System.nanoTime();
             long count = 0;
             while (System.nanoTime() - start < ROUND_NANOS) {
-                once.run();
+                operation.run();
                 count++;
             }
             rounds.add((System.nanoTime() - start) / (double) count);
@@ -98,16 +99,16 @@
         System.out.printf(Locale.ROOT, FORMAT, what, size, "%.0f".formatted(median), "%.1f".formatted(median / size));
     }
 
-    private static void writes() {
+    private static void measureWrites() {
         for (int entries : new int[] {2, 6, 12}) {
-            writes("writes/s, entries", entries, 4, entries);
+            measureWrites("writes/s, entries", entries, 4, entries);
         }
         for (int rate : new int[] {1, 4, 16}) {
-            writes("writes/s, requests/s", rate, rate, 6);
+            measureWrites("writes/s, requests/s", rate, rate, 6);
         }
     }
 
-    private static void writes(String what, int size, double rate, int entries) {
+    private static void measureWrites(String what, int size, double rate, int entries) {
         Scenario scenario =
                 new Scenario(what, 600, entries, 200_000_000, rate, 1.6, 1_200, 700, List.of(), List.of(), 0, -1);
         ExperimentResult result = new LedgerExperiment(scenario, "patient", LedgerSettings.patient(), 1).run();
--- a/standin/src/main/java/org/streamring/standin/experiment/StreamTimes.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/StreamTimes.java
@@ -9,7 +9,7 @@
 import org.asynchttpclient.HttpResponseStatus;
 import org.jspecify.annotations.Nullable;
 
-/** Times of one streamed answer: to its first part, between parts, and in all; and what its caller was told. */
+/** Records the times of a streamed answer (to the first part, between parts, in total) and its outcome header. */
 public final class StreamTimes implements AsyncHandler<Void> {
     private static final int OK = 200;
     private static final int TAIL_CHARACTERS = 400;
@@ -44,7 +44,7 @@
             firstNanos = lastNanos;
         }
         parts++;
-        // Events may be cut anywhere, so the end is looked for in what came last.
+        // An event may be split between body parts, so the end marker is searched for in the last characters received.
         String text = tail + new String(part.getBodyPartBytes(), UTF_8);
         tail = text.substring(Math.max(0, text.length() - TAIL_CHARACTERS));
         return State.CONTINUE;
@@ -60,33 +60,33 @@
         return null;
     }
 
-    /** Whether the answer came to its regular end. */
-    public boolean whole() {
+    /** Returns whether the answer is complete. */
+    public boolean completed() {
         return status == OK && tail.contains("[DONE]");
     }
 
-    /** Whether the caller was told that nothing ran. */
+    /** Returns whether the outcome header states that the request was not run. */
     public boolean refused() {
         return outcome.equals("not-run");
     }
 
-    /** Time to the first part. */
+    /** Returns the time to the first part. */
     public long firstMicros() {
         return TimeUnit.NANOSECONDS.toMicros(firstNanos - startNanos);
     }
 
-    /** Time to the last part. */
+    /** Returns the time to the last part. */
     public long totalMicros() {
         return TimeUnit.NANOSECONDS.toMicros(lastNanos - startNanos);
     }
 
-    /** Mean time between parts. */
-    long gapMicros() {
+    /** Returns the mean time between parts. */
+    long meanGapMicros() {
         return parts < 2 ? 0 : TimeUnit.NANOSECONDS.toMicros(lastNanos - firstNanos) / (parts - 1);
     }
 
-    /** Mean time between tokens of an answer of known length; parts may carry several. */
-    public long tokenMicros(int answerTokens) {
+    /** Returns the mean time between tokens of an answer of known length; a part may contain several tokens. */
+    public long meanTokenMicros(int answerTokens) {
         return TimeUnit.NANOSECONDS.toMicros(lastNanos - firstNanos) / Math.max(1, answerTokens - 1);
     }
 }
--- a/standin/src/main/java/org/streamring/standin/experiment/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/package-info.java
@@ -1,4 +1,4 @@
-/** Measures how leases are held: demand, faults and the count of what was refused, on the kernel's own ledger. */
+/** Experiments with the lease ledger of the kernel under load and faults, and measurements of overhead and memory. */
 @NullMarked
 package org.streamring.standin.experiment;
 
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/EngineSize.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/EngineSize.java
@@ -3,25 +3,25 @@
 import java.util.List;
 
 /**
- * Size of the engines, from which the load is worked out.
+ * Size of the engines, from which their capacity is calculated.
  *
  * @param engines number of engines
- * @param batch sequences in one step
- * @param stepMillis time of one step
- * @param prefillTokens prompt tokens read in one step
+ * @param batch maximum number of sequences in a step
+ * @param stepMillis duration of a step
+ * @param prefillTokens prompt tokens read in a step
  */
 record EngineSize(int engines, int batch, int stepMillis, int prefillTokens) {
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Requests a second that fill every place of every engine, if no part of any prompt is cached. */
+    /** Returns the request rate that keeps all batch slots of all engines busy if no part of a prompt is cached. */
     double requestsPerSecond(List<RequestKind> mix) {
         double steps = mix.stream()
-                .mapToDouble(kind -> kind.share() * (kind.answerTokens() + readingSteps(kind)))
+                .mapToDouble(kind -> kind.share() * (kind.answerTokens() + prefillSteps(kind)))
                 .sum();
-        return engines * batch * MILLIS / (steps * stepMillis);
+        return engines * batch * MILLIS_PER_SECOND / (steps * stepMillis);
     }
 
-    private double readingSteps(RequestKind kind) {
+    private double prefillSteps(RequestKind kind) {
         return Math.ceil(kind.promptTokens() / (double) prefillTokens);
     }
 }
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/MeasuredFleet.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/MeasuredFleet.java
@@ -16,30 +16,30 @@
 import org.streamring.standin.engine.EngineFaults;
 import org.streamring.standin.proxy.FaultProxy;
 
-/** The processes under measurement as this program sees them: engines, and sidecars behind proxies of its own. */
+/** Controls the measured engines and sidecars; connections to the sidecars pass through proxies of this process. */
 final class MeasuredFleet implements AutoCloseable {
     private static final JsonMapper MAPPER = new JsonMapper();
     private static final String CUT_DOMAIN = "domain-0";
 
     private final HttpClient http = HttpClient.newHttpClient();
-    private final List<Member> members = new ArrayList<>();
+    private final List<MeasuredServer> servers = new ArrayList<>();
     private final String platform;
 
-    private record Member(String engineUrl, FaultProxy proxy, BackendServer server) {}
+    private record MeasuredServer(String engineUrl, FaultProxy proxy, BackendServer backendServer) {}
 
     /**
-     * Prompt tokens since the engine started.
+     * Prompt tokens since the start of the engines.
      *
-     * @param read tokens of all prompts
-     * @param cached those of them that were found in the cache
+     * @param read number of tokens of all prompts
+     * @param cached number of these tokens that were found in the caches
      */
     record PromptCounts(long read, long cached) {}
 
     /**
-     * Creates one.
+     * Starts a proxy for each sidecar.
      *
      * @param platform address of the stand-in platform
-     * @param sidecars one text each: name, port, failure domain and engine address, separated by commas
+     * @param sidecars name, port, failure domain and engine address of each sidecar, separated by commas
      */
     MeasuredFleet(String platform, List<String> sidecars) {
         this.platform = platform;
@@ -48,36 +48,37 @@
             FaultProxy proxy = new FaultProxy(Integer.parseInt(parts[1]));
             BackendServer server =
                     new BackendServer(parts[0], "assist-llm", parts[2], "127.0.0.1", proxy.port(), false);
-            members.add(new Member(parts[3], proxy, server));
+            servers.add(new MeasuredServer(parts[3], proxy, server));
         }
     }
 
     int size() {
-        return members.size();
+        return servers.size();
     }
 
-    /** Puts the sidecars into the box list. */
-    void list() {
-        Boxes boxes = new Boxes(members.stream().map(Member::server).toList());
+    /** Sends the box list with all sidecars to the stand-in platform. */
+    void publishBoxList() {
+        Boxes boxes =
+                new Boxes(servers.stream().map(MeasuredServer::backendServer).toList());
         post(platform + "/control/boxes", RowText.write(boxes));
     }
 
-    void faultOfFirst(EngineFaults faults) {
-        post(members.get(0).engineUrl() + "/control/faults", RowText.write(faults));
+    void setFaultsOfFirstEngine(EngineFaults faults) {
+        post(servers.get(0).engineUrl() + "/control/faults", RowText.write(faults));
     }
 
-    void cutDomain(boolean cut) {
-        members.stream()
-                .filter(member -> member.server().failureDomain().equals(CUT_DOMAIN))
-                .forEach(member -> member.proxy().setMode(cut ? FaultProxy.Mode.CUT : FaultProxy.Mode.PASS));
+    void setDomainCut(boolean cut) {
+        servers.stream()
+                .filter(server -> server.backendServer().failureDomain().equals(CUT_DOMAIN))
+                .forEach(server -> server.proxy().setMode(cut ? FaultProxy.Mode.CUT : FaultProxy.Mode.PASS));
     }
 
     PromptCounts promptCounts() {
         long read = 0;
         long cached = 0;
-        for (Member member : members) {
+        for (MeasuredServer server : servers) {
             try {
-                JsonNode counts = MAPPER.readTree(post(member.engineUrl() + "/control/prompts", "{}"));
+                JsonNode counts = MAPPER.readTree(post(server.engineUrl() + "/control/prompts", "{}"));
                 read += counts.path("read").asLong();
                 cached += counts.path("cached").asLong();
             } catch (IOException e) {
@@ -103,6 +104,6 @@
 
     @Override
     public void close() {
-        members.forEach(member -> member.proxy().close());
+        servers.forEach(server -> server.proxy().close());
     }
 }
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/RequestKind.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/RequestKind.java
@@ -4,14 +4,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A kind of request in the measured mix. Sizes are the users' own, scaled to what one machine carries.
+ * A kind of request in the measured mix. Sizes are those of the users' requests, scaled down to the capacity of a
+ * single box.
  *
- * @param name name in the table
- * @param accountKey key of the client account that sends it, and with it its priority class
- * @param share part of all requests
- * @param subjects number of different shared prompt beginnings
- * @param sharedTokens tokens of the shared beginning
- * @param ownTokens tokens of the rest of the prompt
+ * @param name name of the kind
+ * @param accountKey key of the client account that sends the requests, which determines their priority class
+ * @param share fraction of all requests
+ * @param subjects number of different shared prompt prefixes
+ * @param sharedTokens tokens of the shared prefix
+ * @param ownTokens tokens of the unshared rest of the prompt
  * @param answerTokens tokens of the answer
  */
 record RequestKind(
@@ -22,7 +23,7 @@
             {"model":"assist","messages":[{"role":"system","content":"%s"},{"role":"user","content":"%s"}],\
             "max_tokens":%d,"standin_answer_tokens":%d,"stream":true}""";
 
-    /** Diagnoses, questions and tags, in three priority classes. */
+    /** Returns the mix of diagnoses, questions and tags, each in its own priority class. */
     static List<RequestKind> mix() {
         return List.of(
                 new RequestKind("diagnosis", "routing-urgent", 0.25, 40, 1600, 800, 40),
@@ -31,10 +32,10 @@
     }
 
     static RequestKind draw(List<RequestKind> mix, RandomGenerator random) {
-        double left = random.nextDouble();
+        double remainingShare = random.nextDouble();
         for (RequestKind kind : mix) {
-            left -= kind.share();
-            if (left < 0) {
+            remainingShare -= kind.share();
+            if (remainingShare < 0) {
                 return kind;
             }
         }
@@ -45,7 +46,7 @@
         return sharedTokens + ownTokens;
     }
 
-    /** The body of one request; bodies of the same subject begin alike. */
+    /** Returns a random request body; bodies of the same subject have the same prompt prefix. */
     String body(RandomGenerator random) {
         String shared = text(name + random.nextInt(subjects), sharedTokens);
         String own = text(Long.toHexString(random.nextLong()), ownTokens);
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/RoutingCommand.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/RoutingCommand.java
@@ -22,18 +22,18 @@
 import org.streamring.standin.experiment.routing.MeasuredFleet.PromptCounts;
 
 /**
- * Sends the same arrivals to entries of different strategies, in turn, and prints what came of them. Arrivals are drawn
- * with fixed seeds and do not wait for answers.
+ * Sends the same sequence of requests to entries with different routing strategies, one after the other, and prints the
+ * results. Arrival times are drawn with fixed seeds and don't depend on the answers (open loop).
  */
 @Command(
         name = "routing",
-        description = "Compare entries of different routing strategies over the same engines; tools/measure-routing"
+        description = "Compare entries with different routing strategies on the same engines; tools/measure-routing"
                 + " starts the processes")
 public final class RoutingCommand implements Runnable {
     private static final long SEED = 20_261;
     private static final double WARM_UP_LOAD = 0.5;
-    private static final long SETTLE_MILLIS = 1_000;
-    private static final double NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long PAUSE_AFTER_SLICE_MILLIS = 1_000;
+    private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final String DEADLINE_MILLIS = "10000";
 
     @Option(name = "--platform", description = "Address of the stand-in platform")
@@ -48,23 +48,23 @@
     @Required
     private List<String> sidecars = new ArrayList<>();
 
-    @Option(name = "--batch", description = "Sequences in one step of an engine")
+    @Option(name = "--batch", description = "Maximum number of sequences in a step of an engine")
     private int batch = 8;
 
-    @Option(name = "--step-millis", description = "Time of one step of an engine")
+    @Option(name = "--step-millis", description = "Duration of a step of an engine")
     private int stepMillis = 30;
 
-    @Option(name = "--prefill-tokens", description = "Prompt tokens that an engine reads in one step")
+    @Option(name = "--prefill-tokens", description = "Prompt tokens that an engine reads in a step")
     private int prefillTokens = 320;
 
-    @Option(name = "--seconds", description = "Length of a slice of one strategy")
+    @Option(name = "--seconds", description = "Length of a slice of a strategy")
     private int seconds = 5;
 
-    @Option(name = "--rounds", description = "Slices of each strategy in a scenario")
+    @Option(name = "--rounds", description = "Number of slices of each strategy in a scenario")
     private int rounds = 3;
 
-    @Option(name = "--scenario", description = "Only scenarios whose name contains this")
-    private String only = "";
+    @Option(name = "--scenario", description = "Run only scenarios whose name contains this text")
+    private String scenarioFilter = "";
 
     private final List<RequestKind> mix = RequestKind.mix();
 
@@ -74,14 +74,14 @@
         entries.forEach(entry -> strategies.put(entry.split("=", 2)[0], entry.split("=", 2)[1]));
         try (MeasuredFleet fleet = new MeasuredFleet(platform, sidecars);
                 AsyncHttpClient client = Dsl.asyncHttpClient(Dsl.config().setMaxRequestRetry(0))) {
-            double full = new EngineSize(fleet.size(), batch, stepMillis, prefillTokens).requestsPerSecond(mix);
-            System.out.printf("%d engines; load 1 is %.1f requests/s%n%n", fleet.size(), full);
-            fleet.list();
-            warmUp(client, strategies, full);
-            System.out.println(RoutingTally.header());
+            double fullLoadRate = new EngineSize(fleet.size(), batch, stepMillis, prefillTokens).requestsPerSecond(mix);
+            System.out.printf("%d engines; load 1 is %.1f requests/s%n%n", fleet.size(), fullLoadRate);
+            fleet.publishBoxList();
+            warmUp(client, strategies, fullLoadRate);
+            System.out.println(RoutingStatistics.header());
             for (RoutingScenario scenario : RoutingScenario.all()) {
-                if (scenario.name().contains(only)) {
-                    measure(scenario, client, fleet, strategies, full * scenario.load());
+                if (scenario.name().contains(scenarioFilter)) {
+                    measure(scenario, client, fleet, strategies, fullLoadRate * scenario.load());
                 }
             }
         } catch (IOException e) {
@@ -89,8 +89,10 @@
         }
     }
 
-    private void warmUp(AsyncHttpClient client, Map<String, String> strategies, double full) {
-        strategies.values().forEach(url -> slice(client, url, full * WARM_UP_LOAD, SEED - 1, new RoutingTally()));
+    private void warmUp(AsyncHttpClient client, Map<String, String> strategies, double fullLoadRate) {
+        strategies
+                .values()
+                .forEach(url -> runSlice(client, url, fullLoadRate * WARM_UP_LOAD, SEED - 1, new RoutingStatistics()));
     }
 
     private void measure(
@@ -99,35 +101,37 @@
             MeasuredFleet fleet,
             Map<String, String> strategies,
             double perSecond) {
-        Map<String, RoutingTally> tallies = new LinkedHashMap<>();
-        fleet.faultOfFirst(scenario.fault());
+        Map<String, RoutingStatistics> statisticsByStrategy = new LinkedHashMap<>();
+        fleet.setFaultsOfFirstEngine(scenario.fault());
         for (int round = 0; round < rounds; round++) {
             long seed = SEED + round;
             strategies.forEach((strategy, url) -> {
-                RoutingTally tally = tallies.computeIfAbsent(strategy, name -> new RoutingTally());
+                RoutingStatistics statistics =
+                        statisticsByStrategy.computeIfAbsent(strategy, name -> new RoutingStatistics());
                 PromptCounts before = fleet.promptCounts();
-                Thread cut = cutInTheMiddle(scenario, fleet);
-                slice(client, url, perSecond, seed, tally);
-                join(cut);
-                fleet.cutDomain(false);
+                Thread cutThread = startDomainCut(scenario, fleet);
+                runSlice(client, url, perSecond, seed, statistics);
+                join(cutThread);
+                fleet.setDomainCut(false);
                 PromptCounts after = fleet.promptCounts();
-                tally.addPrompts(after.read() - before.read(), after.cached() - before.cached());
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(SETTLE_MILLIS));
+                statistics.addPrompts(after.read() - before.read(), after.cached() - before.cached());
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_AFTER_SLICE_MILLIS));
             });
         }
-        fleet.faultOfFirst(EngineFaults.NONE);
-        tallies.forEach((strategy, tally) -> System.out.println(tally.row(scenario.name(), strategy)));
+        fleet.setFaultsOfFirstEngine(EngineFaults.NONE);
+        statisticsByStrategy.forEach(
+                (strategy, statistics) -> System.out.println(statistics.row(scenario.name(), strategy)));
     }
 
-    private Thread cutInTheMiddle(RoutingScenario scenario, MeasuredFleet fleet) {
-        Thread cut = new Thread(() -> {
+    private Thread startDomainCut(RoutingScenario scenario, MeasuredFleet fleet) {
+        Thread cutThread = new Thread(() -> {
             if (scenario.cutDomain()) {
-                LockSupport.parkNanos((long) (seconds * NANOS / 2));
-                fleet.cutDomain(true);
+                LockSupport.parkNanos((long) (seconds * NANOS_PER_SECOND / 2));
+                fleet.setDomainCut(true);
             }
         });
-        cut.start();
-        return cut;
+        cutThread.start();
+        return cutThread;
     }
 
     private static void join(Thread thread) {
@@ -138,21 +142,22 @@
         }
     }
 
-    /** Sends one slice of arrivals and waits for all answers. */
-    private void slice(AsyncHttpClient client, String url, double perSecond, long seed, RoutingTally tally) {
+    /** Sends the requests of a slice and waits for all answers. */
+    private void runSlice(
+            AsyncHttpClient client, String url, double perSecond, long seed, RoutingStatistics statistics) {
         RandomGenerator random = new SplittableRandom(seed);
-        Phaser open = new Phaser(1);
-        long start = System.nanoTime();
-        double at = 0;
-        while (at < seconds) {
-            at += -Math.log(1 - random.nextDouble()) / perSecond;
-            long wait = start + (long) (at * NANOS) - System.nanoTime();
-            if (wait > 0) {
-                LockSupport.parkNanos(wait);
+        Phaser pendingRequests = new Phaser(1);
+        long startNanos = System.nanoTime();
+        double atSeconds = 0;
+        while (atSeconds < seconds) {
+            atSeconds += -Math.log(1 - random.nextDouble()) / perSecond;
+            long delayNanos = startNanos + (long) (atSeconds * NANOS_PER_SECOND) - System.nanoTime();
+            if (delayNanos > 0) {
+                LockSupport.parkNanos(delayNanos);
             }
-            send(client, url, RequestKind.draw(mix, random), random, tally, open);
+            send(client, url, RequestKind.draw(mix, random), random, statistics, pendingRequests);
         }
-        open.arriveAndAwaitAdvance();
+        pendingRequests.arriveAndAwaitAdvance();
     }
 
     private static void send(
@@ -160,18 +165,18 @@
             String url,
             RequestKind kind,
             RandomGenerator random,
-            RoutingTally tally,
-            Phaser open) {
+            RoutingStatistics statistics,
+            Phaser pendingRequests) {
         RequestBuilder request = new RequestBuilder("POST")
                 .setUrl(url + "/v1/chat/completions")
                 .setHeader("Authorization", "Bearer " + kind.accountKey())
                 .setHeader("Streamring-Deadline-Ms", DEADLINE_MILLIS)
                 .setBody(kind.body(random));
-        StreamTimes call = new StreamTimes();
-        open.register();
-        client.executeRequest(request, call).toCompletableFuture().whenComplete((ignored, problem) -> {
-            tally.add(kind, call);
-            open.arriveAndDeregister();
+        StreamTimes times = new StreamTimes();
+        pendingRequests.register();
+        client.executeRequest(request, times).toCompletableFuture().whenComplete((ignored, problem) -> {
+            statistics.add(kind, times);
+            pendingRequests.arriveAndDeregister();
         });
     }
 }
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/RoutingTally.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/RoutingStatistics.java
@@ -6,38 +6,38 @@
 import org.HdrHistogram.Histogram;
 import org.streamring.standin.experiment.StreamTimes;
 
-/** What came of the requests of one strategy in one scenario. */
-final class RoutingTally {
+/** Statistics of the requests of a routing strategy in a scenario. Thread-safe. */
+final class RoutingStatistics {
     private static final long MAX_MICROS = 600_000_000L;
     private static final double MICROS_PER_MILLI = 1000;
 
-    private final Histogram first = new Histogram(MAX_MICROS, 3);
-    private final Histogram gap = new Histogram(MAX_MICROS, 3);
+    private final Histogram firstTokenMicros = new Histogram(MAX_MICROS, 3);
+    private final Histogram tokenGapMicros = new Histogram(MAX_MICROS, 3);
     private final Map<String, Integer> sent = new TreeMap<>();
     private final Map<String, Integer> refused = new TreeMap<>();
-    private int broken;
+    private int brokenOff;
     private long cachedTokens;
     private long promptTokens;
 
-    synchronized void add(RequestKind kind, StreamTimes call) {
+    synchronized void add(RequestKind kind, StreamTimes times) {
         sent.merge(kind.name(), 1, Integer::sum);
-        if (call.whole()) {
-            addTimes(kind, call);
-        } else if (call.refused()) {
+        if (times.completed()) {
+            addTimes(kind, times);
+        } else if (times.refused()) {
             refused.merge(kind.name(), 1, Integer::sum);
         } else {
-            broken++;
+            brokenOff++;
         }
     }
 
-    private void addTimes(RequestKind kind, StreamTimes call) {
-        first.recordValue(call.firstMicros());
+    private void addTimes(RequestKind kind, StreamTimes times) {
+        firstTokenMicros.recordValue(times.firstMicros());
         if (kind.answerTokens() > 1) {
-            gap.recordValue(call.tokenMicros(kind.answerTokens()));
+            tokenGapMicros.recordValue(times.meanTokenMicros(kind.answerTokens()));
         }
     }
 
-    /** Adds prompt tokens that the engines read, and those that they found in their caches. */
+    /** Adds prompt tokens that the engines received, and those of them that were found in their caches. */
     synchronized void addPrompts(long read, long cached) {
         promptTokens += read;
         cachedTokens += cached;
@@ -50,19 +50,19 @@
     }
 
     synchronized String row(String scenario, String strategy) {
-        int all = sent.values().stream().mapToInt(Integer::intValue).sum();
+        int total = sent.values().stream().mapToInt(Integer::intValue).sum();
         return String.format(
                 Locale.ROOT,
                 "| %s | %s | %d | %s | %s | %s / %s / %s | %s | %s |",
                 scenario,
                 strategy,
-                all,
-                percentiles(first),
-                percentiles(gap),
+                total,
+                percentiles(firstTokenMicros),
+                percentiles(tokenGapMicros),
                 refusedShare("diagnosis"),
                 refusedShare("question"),
                 refusedShare("tag"),
-                percent(broken, all),
+                percent(brokenOff, total),
                 percent(cachedTokens, promptTokens));
     }
 
--- a/standin/src/main/java/org/streamring/standin/experiment/routing/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Measures how requests are routed: strategies in turn, over the same engines, under the same arrivals and faults. */
+/** Comparison of routing strategies on the same engines, with the same request arrivals and faults. */
 @NullMarked
 package org.streamring.standin.experiment.routing;
 
