--- a/standin/src/main/java/org/streamring/standin/engine/EngineRequest.java
+++ b/standin/src/main/java/org/streamring/standin/engine/EngineRequest.java
@@ -7,17 +7,17 @@
 import org.streamring.standin.http.Exchange;
 
 /**
- * A request to the engine, read.
+ * A parsed request to the engine.
  *
  * @param attempt identifier of the attempt
  * @param request identifier of the request
- * @param model model
+ * @param model name of the model
  * @param prompt prompt text
- * @param promptTokens tokens of the prompt: one for every four characters
- * @param maxTokens limit of the answer
- * @param answerTokens tokens that will be generated
+ * @param promptTokens number of tokens of the prompt, one per four characters
+ * @param maxTokens token limit of the answer
+ * @param answerTokens number of tokens to generate
  * @param stream whether the answer is streamed
- * @param priority rank; 0 is first
+ * @param priority rank of the request; requests with a smaller rank start first
  */
 record EngineRequest(
         String attempt,
@@ -46,7 +46,7 @@
                 ? body.path("prompt").asText()
                 : body.path("messages").toString();
         int maxTokens = body.path("max_tokens").asInt(DEFAULT_MAX_TOKENS);
-        int wanted = body.path("standin_answer_tokens").asInt(DEFAULT_ANSWER_TOKENS);
+        int requestedTokens = body.path("standin_answer_tokens").asInt(DEFAULT_ANSWER_TOKENS);
         return new EngineRequest(
                 exchange.header("X-Request-Id"),
                 exchange.header("X-Streamring-Request"),
@@ -54,7 +54,7 @@
                 prompt,
                 Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN),
                 maxTokens,
-                Math.min(maxTokens, wanted),
+                Math.min(maxTokens, requestedTokens),
                 body.path("stream").asBoolean(false),
                 body.path("priority").asInt(0));
     }
--- a/standin/src/main/java/org/streamring/standin/engine/EngineStandin.java
+++ b/standin/src/main/java/org/streamring/standin/engine/EngineStandin.java
@@ -10,7 +10,10 @@
 import org.streamring.standin.http.Exchange;
 import org.streamring.standin.http.StandinServer;
 
-/** A model engine on a loopback port. All its state belongs to the server's event loop. */
+/**
+ * A stand-in for a model engine that listens on a loopback port. Its batch, queue and cache are confined to the event
+ * loop of the server.
+ */
 public final class EngineStandin implements AutoCloseable {
     private static final int NOT_FOUND = 404;
     private static final int SERVER_ERROR = 500;
@@ -22,28 +25,28 @@
     private final List<RunRecord> records = new CopyOnWriteArrayList<>();
     private final StandinServer server;
     private volatile EngineFaults faults = EngineFaults.NONE;
-    private boolean stepping;
+    private boolean stepScheduled;
     private long promptTokens;
     private long cachedTokens;
 
-    /** Starts to listen. */
+    /** Starts the engine on the given port of 127.0.0.1; 0 for any free port. */
     public EngineStandin(int port, EngineSettings settings) {
         this.settings = settings;
         this.cache = new PrefixCache(settings.cacheBlocks());
         this.server = new StandinServer(port, this::handle);
     }
 
-    /** Address for clients. */
+    /** Returns the base URL for clients. */
     public String url() {
         return server.url();
     }
 
-    /** Switches faults. */
+    /** Replaces the injected faults. */
     public void setFaults(EngineFaults newFaults) {
         faults = newFaults;
     }
 
-    /** What it ran. */
+    /** Returns the records of all requests that were run. */
     public List<RunRecord> records() {
         return List.copyOf(records);
     }
@@ -79,18 +82,18 @@
         cachedTokens += cached;
         waiting.add(new Sequence(exchange, request, Math.max(1, request.promptTokens() - cached)));
         waiting.sort(Comparator.comparingInt(sequence -> sequence.request().priority()));
-        if (!stepping) {
-            stepping = true;
+        if (!stepScheduled) {
+            stepScheduled = true;
             scheduleStep();
         }
     }
 
     private void cancel(String attempt) {
-        batch.stream().filter(sequence -> isOf(sequence, attempt)).forEach(Sequence::cancel);
-        waiting.stream().filter(sequence -> isOf(sequence, attempt)).forEach(Sequence::cancel);
+        batch.stream().filter(sequence -> belongsTo(sequence, attempt)).forEach(Sequence::cancel);
+        waiting.stream().filter(sequence -> belongsTo(sequence, attempt)).forEach(Sequence::cancel);
     }
 
-    private static boolean isOf(Sequence sequence, String attempt) {
+    private static boolean belongsTo(Sequence sequence, String attempt) {
         return sequence.request().attempt().equals(attempt);
     }
 
@@ -104,28 +107,29 @@
             batch.add(waiting.remove(0));
         }
         int prefill = settings.prefillTokens();
-        EngineFaults now = faults;
+        EngineFaults currentFaults = faults;
         Iterator<Sequence> sequences = batch.iterator();
         while (sequences.hasNext()) {
             Sequence sequence = sequences.next();
             prefill = sequence.prefill(prefill);
-            if (!sequence.reading() && !sequence.cancelled()) {
+            if (!sequence.prefilling() && !sequence.cancelled()) {
                 sequence.generateToken();
             }
-            if (ends(sequence, now)) {
+            if (finishIfDone(sequence, currentFaults)) {
                 sequences.remove();
             }
         }
-        stepping = !batch.isEmpty() || !waiting.isEmpty();
-        if (stepping) {
+        stepScheduled = !batch.isEmpty() || !waiting.isEmpty();
+        if (stepScheduled) {
             scheduleStep();
         }
     }
 
-    private boolean ends(Sequence sequence, EngineFaults now) {
-        boolean dies = now.dieAfterTokens() > 0 && sequence.generated() >= now.dieAfterTokens();
-        boolean broken = sequence.callerGone() || dies;
-        boolean complete = sequence.cancelled() || sequence.finished(now.ignoreLimit());
+    private boolean finishIfDone(Sequence sequence, EngineFaults currentFaults) {
+        boolean breaksOff =
+                currentFaults.dieAfterTokens() > 0 && sequence.generated() >= currentFaults.dieAfterTokens();
+        boolean broken = sequence.callerDisconnected() || breaksOff;
+        boolean complete = sequence.cancelled() || sequence.finished(currentFaults.ignoreLimit());
         if (!broken && !complete) {
             return false;
         }
@@ -135,7 +139,7 @@
                 request.request(),
                 request.promptTokens(),
                 sequence.generated(),
-                complete && !sequence.cancelled() && !dies));
+                complete && !sequence.cancelled() && !breaksOff));
         if (broken) {
             sequence.breakOff();
         } else {
--- a/standin/src/main/java/org/streamring/standin/engine/PrefixCache.java
+++ b/standin/src/main/java/org/streamring/standin/engine/PrefixCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A bounded cache of prompt prefixes, in blocks; the least recently used goes first. */
+/** A bounded cache of blocks of prompt prefixes, which evicts the least recently used block. */
 final class PrefixCache {
     private static final int BLOCK_CHARACTERS = 256;
     private static final float LOAD_FACTOR = 0.75f;
@@ -21,7 +21,7 @@
         };
     }
 
-    /** Characters of the prompt that are cached; the whole prompt is cached afterwards. */
+    /** Returns the length in characters of the cached prefix of a prompt, and stores all complete blocks of it. */
     int readAndStore(String prompt) {
         int cached = 0;
         boolean hit = true;
--- a/standin/src/main/java/org/streamring/standin/engine/RunRecord.java
+++ b/standin/src/main/java/org/streamring/standin/engine/RunRecord.java
@@ -1,16 +1,16 @@
 package org.streamring.standin.engine;
 
 /**
- * What an engine or service ran, by its own account.
+ * The record that an engine or service keeps of an attempt it ran.
  *
- * @param attempt identifier of the attempt as it was sent
- * @param request identifier of the request as it was sent
- * @param promptTokens prompt tokens read
- * @param answerTokens tokens generated
- * @param complete whether the answer was finished
+ * @param attempt identifier of the attempt, as received
+ * @param request identifier of the request, as received
+ * @param promptTokens number of prompt tokens
+ * @param answerTokens number of generated tokens
+ * @param complete whether the answer was completed
  */
 public record RunRecord(String attempt, String request, long promptTokens, long answerTokens, boolean complete) {
-    /** Prompt and answer together. */
+    /** Returns the sum of prompt tokens and answer tokens. */
     public long tokens() {
         return promptTokens + answerTokens;
     }
--- a/standin/src/main/java/org/streamring/standin/engine/Sequence.java
+++ b/standin/src/main/java/org/streamring/standin/engine/Sequence.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.streamring.standin.http.Exchange;
 
-/** One answer being generated. */
+/** A request whose answer is being generated. Confined to the event loop of the engine's server. */
 final class Sequence {
     private static final JsonMapper MAPPER = new JsonMapper();
     private static final String WORD = "word ";
@@ -12,14 +12,14 @@
     private final Exchange exchange;
     private final EngineRequest request;
     private final StringBuilder text = new StringBuilder();
-    private int prefillLeft;
+    private int remainingPrefillTokens;
     private int generated;
     private boolean cancelled;
 
-    Sequence(Exchange exchange, EngineRequest request, int prefillLeft) {
+    Sequence(Exchange exchange, EngineRequest request, int remainingPrefillTokens) {
         this.exchange = exchange;
         this.request = request;
-        this.prefillLeft = prefillLeft;
+        this.remainingPrefillTokens = remainingPrefillTokens;
         if (request.stream()) {
             exchange.beginEvents();
         }
@@ -29,7 +29,7 @@
         return request;
     }
 
-    boolean callerGone() {
+    boolean callerDisconnected() {
         return !exchange.isOpen();
     }
 
@@ -45,22 +45,22 @@
         return generated;
     }
 
-    /** Reads part of the prompt; returns how much of the step's allowance is left. */
+    /** Reads prompt tokens up to the allowance; returns the unused part of the allowance. */
     int prefill(int allowance) {
-        int read = Math.min(prefillLeft, allowance);
-        prefillLeft -= read;
+        int read = Math.min(remainingPrefillTokens, allowance);
+        remainingPrefillTokens -= read;
         return allowance - read;
     }
 
-    boolean reading() {
-        return prefillLeft > 0;
+    boolean prefilling() {
+        return remainingPrefillTokens > 0;
     }
 
     void generateToken() {
         generated++;
         text.append(WORD);
         if (request.stream()) {
-            ObjectNode event = frame("chat.completion.chunk");
+            ObjectNode event = newResponse("chat.completion.chunk");
             ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
             choice.putObject("delta").put("content", WORD);
             choice.putNull("finish_reason");
@@ -76,20 +76,20 @@
     void complete() {
         String reason = cancelled ? "cancelled" : generated >= request.maxTokens() ? "length" : "stop";
         if (request.stream()) {
-            ObjectNode event = frame("chat.completion.chunk");
+            ObjectNode event = newResponse("chat.completion.chunk");
             ObjectNode choice = event.putArray("choices").addObject().put("index", 0);
             choice.putObject("delta");
             choice.put("finish_reason", reason);
             exchange.event(event.toString());
-            ObjectNode last = frame("chat.completion.chunk");
-            last.putArray("choices");
-            putUsage(last);
-            exchange.event(last.toString());
+            ObjectNode usageEvent = newResponse("chat.completion.chunk");
+            usageEvent.putArray("choices");
+            putUsage(usageEvent);
+            exchange.event(usageEvent.toString());
             exchange.event("[DONE]");
             exchange.endEvents();
             return;
         }
-        ObjectNode answer = frame("chat.completion");
+        ObjectNode answer = newResponse("chat.completion");
         ObjectNode choice = answer.putArray("choices").addObject().put("index", 0);
         choice.putObject("message").put("role", "assistant").put("content", text.toString());
         choice.put("finish_reason", reason);
@@ -101,15 +101,15 @@
         exchange.breakOff();
     }
 
-    private ObjectNode frame(String kind) {
+    private ObjectNode newResponse(String kind) {
         return MAPPER.createObjectNode()
                 .put("id", request.attempt())
                 .put("object", kind)
                 .put("model", request.model());
     }
 
-    private void putUsage(ObjectNode into) {
-        into.putObject("usage")
+    private void putUsage(ObjectNode parent) {
+        parent.putObject("usage")
                 .put("prompt_tokens", request.promptTokens())
                 .put("completion_tokens", generated)
                 .put("total_tokens", request.promptTokens() + generated);
--- a/standin/src/main/java/org/streamring/standin/engine/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: batching, a bounded prefix cache, cancel, and a record of what it ran. */
+/** Stand-in for a model engine with batching, a bounded prefix cache, cancellation and a record of all runs. */
 @NullMarked
 package org.streamring.standin.engine;
 
