--- a/standin/src/main/java/org/streamring/standin/platform/PlatformFaults.java
+++ b/standin/src/main/java/org/streamring/standin/platform/PlatformFaults.java
@@ -3,11 +3,11 @@
 /**
  * Faults of the stand-in platform.
  *
- * @param down whether nothing is answered and nothing takes effect
- * @param delayMillis wait before each call takes effect
- * @param loseEvery every n-th transaction takes effect, but its answer is lost; 0 for none
- * @param objectsDown whether only the object store is down
- * @param lateMillis every lost transaction takes effect only after this time
+ * @param down whether calls get no response and have no effect
+ * @param delayMillis delay before each call is executed
+ * @param loseEvery n if each n-th transaction is executed but gets no response; 0 for none
+ * @param objectsDown whether calls to the object store get no response and have no effect
+ * @param lateMillis delay before a transaction that gets no response is executed
  */
 public record PlatformFaults(boolean down, long delayMillis, int loseEvery, boolean objectsDown, long lateMillis) {
     /** No faults. */
--- a/standin/src/main/java/org/streamring/standin/platform/PlatformStandin.java
+++ b/standin/src/main/java/org/streamring/standin/platform/PlatformStandin.java
@@ -23,8 +23,8 @@
 import org.streamring.standin.http.StandinServer;
 
 /**
- * The platform's services on one loopback port. Two keys: the fleet's may not write configuration, the operator's
- * may.
+ * A stand-in for the services of the platform, on one loopback port. It accepts two access keys: with the fleet key,
+ * clients can't write configuration; with the operator key, they can.
  */
 public final class PlatformStandin implements AutoCloseable {
     private static final int UNAUTHORIZED = 401;
@@ -34,36 +34,36 @@
 
     private final InMemoryTable table = new InMemoryTable();
     private final ConcurrentSkipListMap<String, String> objects = new ConcurrentSkipListMap<>();
-    private final AtomicLong counter = new AtomicLong();
+    private final AtomicLong transactionCounter = new AtomicLong();
     private final String fleetKey;
     private final String operatorKey;
     private final StandinServer server;
     private volatile List<BackendServer> boxes = List.of();
     private volatile PlatformFaults faults = PlatformFaults.NONE;
 
-    /** Starts to listen. */
+    /** Starts the platform on the given port of 127.0.0.1; 0 for any free port. */
     public PlatformStandin(int port, String fleetKey, String operatorKey) {
         this.fleetKey = "Bearer " + fleetKey;
         this.operatorKey = "Bearer " + operatorKey;
         this.server = new StandinServer(port, this::handle);
     }
 
-    /** Address for clients. */
+    /** Returns the base URL for clients. */
     public String url() {
         return server.url();
     }
 
-    /** The table itself, for tests. */
+    /** Returns the table, for tests. */
     public InMemoryTable table() {
         return table;
     }
 
-    /** Number of objects, for tests. */
+    /** Returns the number of stored objects, for tests. */
     public int objectCount() {
         return objects.size();
     }
 
-    /** Switches faults. */
+    /** Replaces the injected faults. */
     public void setFaults(PlatformFaults newFaults) {
         faults = newFaults;
     }
@@ -75,36 +75,37 @@
 
     private void handle(Exchange exchange) {
         if (exchange.path().startsWith("/control/")) {
-            control(exchange);
+            handleControl(exchange);
             return;
         }
-        boolean known = exchange.header("Authorization").equals(fleetKey)
+        boolean authorized = exchange.header("Authorization").equals(fleetKey)
                 || exchange.header("Authorization").equals(operatorKey);
-        if (!known) {
+        if (!authorized) {
             exchange.answer(UNAUTHORIZED, "text/plain", "unknown key");
             return;
         }
-        PlatformFaults now = faults;
-        if (now.down()) {
-            // Like a service that hangs: the caller finds out by its own time limit.
+        PlatformFaults currentFaults = faults;
+        if (currentFaults.down()) {
+            // Sends no response, like a service that hangs, so that the call ends by the timeout of the caller.
             return;
         }
-        if (now.delayMillis() > 0) {
-            server.timers().schedule(() -> serve(exchange, now), now.delayMillis(), TimeUnit.MILLISECONDS);
+        if (currentFaults.delayMillis() > 0) {
+            server.timers()
+                    .schedule(() -> serve(exchange, currentFaults), currentFaults.delayMillis(), TimeUnit.MILLISECONDS);
         } else {
-            serve(exchange, now);
+            serve(exchange, currentFaults);
         }
     }
 
-    private void serve(Exchange exchange, PlatformFaults now) {
+    private void serve(Exchange exchange, PlatformFaults currentFaults) {
         try {
             switch (exchange.path()) {
-                case "/v1/table/transact" -> transact(exchange, now);
+                case "/v1/table/transact" -> transact(exchange, currentFaults);
                 case "/v1/table/read" ->
                     exchange.answerJson(RowText.write(new RowsAnswer(table.read(
                             RowText.read(exchange.body(), ReadCall.class).keys()))));
                 case "/v1/table/scan" -> scan(exchange);
-                case "/v1/objects" -> objects(exchange, now);
+                case "/v1/objects" -> objects(exchange, currentFaults);
                 case "/v1/boxes" -> exchange.answerJson(RowText.write(new Boxes(boxes)));
                 default -> exchange.answer(NOT_FOUND, "text/plain", "not found");
             }
@@ -113,7 +114,7 @@
         }
     }
 
-    private void transact(Exchange exchange, PlatformFaults now) {
+    private void transact(Exchange exchange, PlatformFaults currentFaults) {
         Transaction transaction =
                 RowText.read(exchange.body(), TransactCall.class).toTransaction();
         boolean writesConfiguration = transaction.operations().stream()
@@ -122,9 +123,11 @@
             exchange.answer(UNAUTHORIZED, "text/plain", "only operators write configuration");
             return;
         }
-        boolean lose = now.loseEvery() > 0 && counter.incrementAndGet() % now.loseEvery() == 0;
-        if (lose) {
-            server.timers().schedule(() -> table.transact(transaction), now.lateMillis(), TimeUnit.MILLISECONDS);
+        boolean loseResponse =
+                currentFaults.loseEvery() > 0 && transactionCounter.incrementAndGet() % currentFaults.loseEvery() == 0;
+        if (loseResponse) {
+            server.timers()
+                    .schedule(() -> table.transact(transaction), currentFaults.lateMillis(), TimeUnit.MILLISECONDS);
             return;
         }
         TransactionResult result = table.transact(transaction);
@@ -136,8 +139,8 @@
         exchange.answerJson(RowText.write(new RowsAnswer(table.scan(call.prefix(), call.after(), call.limit()))));
     }
 
-    private void objects(Exchange exchange, PlatformFaults now) {
-        if (now.objectsDown()) {
+    private void objects(Exchange exchange, PlatformFaults currentFaults) {
+        if (currentFaults.objectsDown()) {
             return;
         }
         String name = exchange.parameter("name");
@@ -156,7 +159,7 @@
         }
     }
 
-    private void control(Exchange exchange) {
+    private void handleControl(Exchange exchange) {
         switch (exchange.path()) {
             case "/control/boxes" -> {
                 boxes = RowText.read(exchange.body(), Boxes.class).backendServers();
--- a/standin/src/main/java/org/streamring/standin/platform/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: table service, object store and box list, with fault switches. */
+/** Stand-in for the platform with table service, object store, box list and fault injection. */
 @NullMarked
 package org.streamring.standin.platform;
 
