--- a/standin/src/main/java/org/streamring/standin/proxy/FaultProxy.java
+++ b/standin/src/main/java/org/streamring/standin/proxy/FaultProxy.java
@@ -22,41 +22,41 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Forwards TCP connections to one target, and injects faults. */
+/** A TCP proxy that forwards connections to a target and injects faults. */
 public final class FaultProxy implements AutoCloseable {
-    /** What the proxy does with traffic. */
+    /** Handling of connections and data. */
     public enum Mode {
-        /** Forwards. */
+        /** Forwards data in both directions. */
         PASS,
-        /** Closes connections and refuses new ones. */
+        /** Closes all connections, including new ones. */
         CUT,
-        /** Resets connections and refuses new ones. */
+        /** Resets all connections, including new ones. */
         RESET,
-        /** Keeps connections open but forwards nothing; what was held back is forwarded afterwards. */
+        /** Keeps connections open but stops reading; pending data is forwarded when the mode ends. */
         FREEZE,
-        /** Forwards to the target only; what the target answers is lost for good. */
+        /** Forwards data to the target only; data from the target is discarded. */
         ONE_WAY
     }
 
-    private static final AttributeKey<Boolean> SILENT = AttributeKey.valueOf("silent");
+    private static final AttributeKey<Boolean> SILENCED = AttributeKey.valueOf("silent");
 
-    private final EventLoopGroup loops = new NioEventLoopGroup(1, new DefaultThreadFactory("proxy", true));
+    private final EventLoopGroup eventLoops = new NioEventLoopGroup(1, new DefaultThreadFactory("proxy", true));
     private final Set<Channel> channels = ConcurrentHashMap.newKeySet();
     private final InetSocketAddress target;
-    private final Channel listening;
+    private final Channel serverChannel;
     private volatile Mode mode = Mode.PASS;
     private volatile long delayMillis;
 
-    /** Starts to listen on a free port, before a target on 127.0.0.1. */
+    /** Starts a proxy on a free port for a target port, both on 127.0.0.1. */
     public FaultProxy(int targetPort) {
         this(0, targetPort);
     }
 
-    /** Starts to listen on a port, before a target on 127.0.0.1. */
+    /** Starts a proxy on the given port for a target port, both on 127.0.0.1. */
     public FaultProxy(int port, int targetPort) {
         this.target = new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort);
         ChannelFuture bound = new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -68,66 +68,66 @@
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
                 .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalStateException("can't listen", bound.cause());
+            throw new IllegalStateException("proxy can't bind its port", bound.cause());
         }
-        listening = bound.channel();
+        serverChannel = bound.channel();
     }
 
-    /** Port in use. */
+    /** Returns the bound port. */
     public int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    /** Address for HTTP clients. */
+    /** Returns the base URL for HTTP clients. */
     public String url() {
         return "http://127.0.0.1:" + port();
     }
 
-    /** Changes what is done with traffic, also of open connections. */
+    /** Changes the handling of new and open connections. */
     public void setMode(Mode newMode) {
         mode = newMode;
-        if (refuses()) {
-            channels.forEach(channel -> channel.eventLoop().execute(() -> end(channel)));
+        if (refusesConnections()) {
+            channels.forEach(channel -> channel.eventLoop().execute(() -> disconnect(channel)));
         } else {
             channels.forEach(channel -> channel.config().setAutoRead(newMode != Mode.FREEZE));
         }
     }
 
     /**
-     * Lets the connections that are open now fall silent for good: nothing passes, and neither side learns of an end.
-     * New ones are served.
+     * Silences the open connections permanently: all data is discarded, and the end of one side is not propagated to
+     * the other. New connections are not affected.
      */
     public void silenceOpenConnections() {
-        channels.forEach(channel -> channel.attr(SILENT).set(true));
+        channels.forEach(channel -> channel.attr(SILENCED).set(true));
     }
 
-    private static boolean silent(Channel channel) {
-        return Boolean.TRUE.equals(channel.attr(SILENT).get());
+    private static boolean silenced(Channel channel) {
+        return Boolean.TRUE.equals(channel.attr(SILENCED).get());
     }
 
-    private boolean refuses() {
+    private boolean refusesConnections() {
         return mode == Mode.CUT || mode == Mode.RESET;
     }
 
-    private void end(Channel channel) {
+    private void disconnect(Channel channel) {
         if (mode == Mode.RESET && channel.isOpen()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         }
         channel.close();
     }
 
-    /** Delays what is forwarded from now on. */
+    /** Sets the delay of data that is forwarded from now on; 0 for none. */
     public void setDelay(long millis) {
         delayMillis = millis;
     }
 
     private void accept(SocketChannel accepted) {
-        if (refuses()) {
-            end(accepted);
+        if (refusesConnections()) {
+            disconnect(accepted);
             return;
         }
         Bootstrap connect = new Bootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.AUTO_READ, false)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -136,46 +136,46 @@
                         created.pipeline().addLast(new Forwarder(accepted, true));
                     }
                 });
-        ChannelFuture connecting = connect.connect(target);
-        accepted.pipeline().addLast(new Forwarder(connecting.channel(), false));
-        connecting.addListener(done -> {
-            if (!connecting.isSuccess()) {
+        ChannelFuture targetConnection = connect.connect(target);
+        accepted.pipeline().addLast(new Forwarder(targetConnection.channel(), false));
+        targetConnection.addListener(done -> {
+            if (!targetConnection.isSuccess()) {
                 accepted.close();
                 return;
             }
             channels.add(accepted);
-            channels.add(connecting.channel());
+            channels.add(targetConnection.channel());
             boolean read = mode != Mode.FREEZE;
             accepted.config().setAutoRead(read);
-            connecting.channel().config().setAutoRead(read);
+            targetConnection.channel().config().setAutoRead(read);
         });
     }
 
     private final class Forwarder extends ChannelInboundHandlerAdapter {
-        private final Channel other;
+        private final Channel peer;
         private final boolean fromTarget;
 
-        private Forwarder(Channel other, boolean fromTarget) {
-            this.other = other;
+        private Forwarder(Channel peer, boolean fromTarget) {
+            this.peer = peer;
             this.fromTarget = fromTarget;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            if (silent(context.channel()) || (fromTarget && mode == Mode.ONE_WAY)) {
+            if (silenced(context.channel()) || (fromTarget && mode == Mode.ONE_WAY)) {
                 ReferenceCountUtil.release(message);
             } else if (delayMillis > 0) {
-                loops.schedule(() -> other.writeAndFlush(message), delayMillis, TimeUnit.MILLISECONDS);
+                eventLoops.schedule(() -> peer.writeAndFlush(message), delayMillis, TimeUnit.MILLISECONDS);
             } else {
-                other.writeAndFlush(message);
+                peer.writeAndFlush(message);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             channels.remove(context.channel());
-            if (!silent(context.channel())) {
-                other.close();
+            if (!silenced(context.channel())) {
+                peer.close();
             }
         }
 
@@ -187,6 +187,6 @@
 
     @Override
     public void close() {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/standin/src/main/java/org/streamring/standin/proxy/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/proxy/package-info.java
@@ -1,4 +1,4 @@
-/** A proxy that injects network faults between two processes. */
+/** TCP proxy that injects network faults between two processes. */
 @NullMarked
 package org.streamring.standin.proxy;
 
