--- a/standin/src/main/java/org/streamring/standin/service/ServiceStandin.java
+++ b/standin/src/main/java/org/streamring/standin/service/ServiceStandin.java
@@ -9,7 +9,7 @@
 import org.streamring.standin.http.Exchange;
 import org.streamring.standin.http.StandinServer;
 
-/** A plain service that answers every call after a while and counts what it did. */
+/** A stand-in for a plain service, which answers each call after a fixed time and records it. */
 public final class ServiceStandin implements AutoCloseable {
     private static final JsonMapper MAPPER = new JsonMapper();
 
@@ -18,21 +18,22 @@
     private final StandinServer server;
 
     /**
-     * Starts to listen.
+     * Starts the service.
      *
-     * @param workMillis time that a call takes
+     * @param port port on 127.0.0.1; 0 for any free port
+     * @param workMillis time from a call to its answer
      */
     public ServiceStandin(int port, long workMillis) {
         this.workMillis = workMillis;
         this.server = new StandinServer(port, this::handle);
     }
 
-    /** Address for clients. */
+    /** Returns the base URL for clients. */
     public String url() {
         return server.url();
     }
 
-    /** What it ran. */
+    /** Returns the records of all calls that were run. */
     public List<RunRecord> records() {
         return List.copyOf(records);
     }
