--- a/standin/src/main/java/org/streamring/standin/http/AnswerNotices.java
+++ b/standin/src/main/java/org/streamring/standin/http/AnswerNotices.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What a stand-in says of itself besides its answers, such as that it leaves, wants rest or takes only so much.
+ * Notices of a stand-in that accompany its answers, for example a shutdown, a back-off or a limit.
  *
- * @param headers headers of each answer
- * @param turnsAway whether requests are turned away with 503 and not run
+ * @param headers headers that are added to each answer
+ * @param turnsAway whether requests are refused with status 503 and not run
  */
 public record AnswerNotices(Map<String, String> headers, boolean turnsAway) {
-    /** It says nothing. */
+    /** No notices. */
     public static final AnswerNotices NONE = new AnswerNotices(Map.of(), false);
 
-    /** Copies the map. */
+    /** Creates notices with an immutable copy of the headers. */
     public AnswerNotices {
         headers = Map.copyOf(headers);
     }
--- a/standin/src/main/java/org/streamring/standin/http/Exchange.java
+++ b/standin/src/main/java/org/streamring/standin/http/Exchange.java
@@ -16,7 +16,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One request to a stand-in, and the ways to answer it. */
+/** A request to a stand-in, with methods to answer it. */
 public final class Exchange {
     private final Channel channel;
     private final String method;
@@ -34,32 +34,32 @@
         this.body = body;
     }
 
-    /** HTTP method. */
+    /** Returns the HTTP method. */
     public String method() {
         return method;
     }
 
-    /** Path without query. */
+    /** Returns the path without the query. */
     public String path() {
         return uri.path();
     }
 
-    /** A query parameter; empty if absent. */
+    /** Returns the value of a query parameter; empty if absent. */
     public String parameter(String name) {
         return uri.parameters().getOrDefault(name, List.of("")).get(0);
     }
 
-    /** A header; empty if absent. */
+    /** Returns the value of a header; empty if absent. */
     public String header(String name) {
         return headers.get(name, "");
     }
 
-    /** Body as text. */
+    /** Returns the body as text. */
     public String body() {
         return body;
     }
 
-    /** Answers whole. */
+    /** Sends a complete answer. */
     public void answer(int status, String contentType, String content) {
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
@@ -72,12 +72,12 @@
         channel.writeAndFlush(response);
     }
 
-    /** Answers with JSON. */
+    /** Sends a complete JSON answer with status 200. */
     public void answerJson(String json) {
         answer(HttpResponseStatus.OK.code(), "application/json", json);
     }
 
-    /** Starts a stream of events. */
+    /** Starts an answer that is a stream of server-sent events. */
     public void beginEvents() {
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/event-stream");
@@ -86,23 +86,23 @@
         channel.writeAndFlush(response);
     }
 
-    /** Sends one event. */
+    /** Sends an event of the stream. */
     public void event(String data) {
         channel.writeAndFlush(
                 new DefaultHttpContent(Unpooled.copiedBuffer("data: " + data + "\n\n", StandardCharsets.UTF_8)));
     }
 
-    /** Ends a stream of events. */
+    /** Ends the stream of events and closes the connection. */
     public void endEvents() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes without an answer. */
+    /** Closes the connection without completing the answer. */
     public void breakOff() {
         channel.close();
     }
 
-    /** Whether the other side is still there. */
+    /** Returns whether the connection to the caller is still active. */
     public boolean isOpen() {
         return channel.isActive();
     }
--- a/standin/src/main/java/org/streamring/standin/http/StandinServer.java
+++ b/standin/src/main/java/org/streamring/standin/http/StandinServer.java
@@ -22,26 +22,26 @@
 import java.util.function.Consumer;
 import org.streamring.kernel.table.RowText;
 
-/** Listens on a loopback port and hands requests to one handler. */
+/** An HTTP server on a loopback port that passes all requests to a handler on its event loop. */
 public final class StandinServer implements AutoCloseable {
-    private static final String CONTROLS = "/control/";
-    private static final String CONTROL = CONTROLS + "notices";
+    private static final String CONTROL_PREFIX = "/control/";
+    private static final String NOTICES_PATH = CONTROL_PREFIX + "notices";
     private static final int MAX_BODY_BYTES = 8 << 20;
 
-    private final NioEventLoopGroup loops = new NioEventLoopGroup(1, new DefaultThreadFactory("standin", true));
+    private final NioEventLoopGroup eventLoops = new NioEventLoopGroup(1, new DefaultThreadFactory("standin", true));
     private final Consumer<Exchange> handler;
     private final Channel channel;
     private volatile AnswerNotices notices = AnswerNotices.NONE;
 
     /**
-     * Starts to listen.
+     * Starts the server.
      *
-     * @param port port on 127.0.0.1; 0 for any free one
+     * @param port port on 127.0.0.1; 0 for any free port
      */
     public StandinServer(int port, Consumer<Exchange> handler) {
         this.handler = handler;
         ChannelFuture bound = new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
@@ -59,26 +59,26 @@
         channel = bound.channel();
     }
 
-    /** Port in use. */
+    /** Returns the bound port. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Address for clients. */
+    /** Returns the base URL for clients. */
     public String url() {
         return "http://127.0.0.1:" + port();
     }
 
-    /** The server's event loop, for timers. */
+    /** Returns the event loop of the server, for timers. */
     public ScheduledExecutorService timers() {
-        return loops;
+        return eventLoops;
     }
 
     private void handle(Exchange exchange) {
-        if (exchange.path().equals(CONTROL)) {
+        if (exchange.path().equals(NOTICES_PATH)) {
             notices = RowText.read(exchange.body(), AnswerNotices.class);
             exchange.answerJson("{}");
-        } else if (notices.turnsAway() && !exchange.path().startsWith(CONTROLS)) {
+        } else if (notices.turnsAway() && !exchange.path().startsWith(CONTROL_PREFIX)) {
             exchange.answer(HttpResponseStatus.SERVICE_UNAVAILABLE.code(), "text/plain", "turned away");
         } else {
             handler.accept(exchange);
@@ -106,6 +106,6 @@
 
     @Override
     public void close() {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/standin/src/main/java/org/streamring/standin/http/package-info.java
+++ b/standin/src/main/java/org/streamring/standin/http/package-info.java
@@ -1,4 +1,4 @@
-/** A small HTTP server that the stand-ins share. */
+/** Small HTTP server shared by the stand-ins. */
 @NullMarked
 package org.streamring.standin.http;
 
--- a/standin/src/test/java/org/streamring/standin/http/AnswerNoticesTest.java
+++ b/standin/src/test/java/org/streamring/standin/http/AnswerNoticesTest.java
@@ -15,32 +15,32 @@
 
 public class AnswerNoticesTest {
     private static final String LIMIT = "{\"headers\":{\"limit\":\"1.5\"},\"turns_away\":false}";
-    private static final String LEAVES_WITH_LIMIT =
+    private static final String LEAVING_AND_LIMIT =
             "{\"headers\":{\"leaving\":\"1\",\"limit\":\"1.5\"},\"turns_away\":false}";
-    private static final String NOTHING = "{\"headers\":{},\"turns_away\":false}";
-    private static final String REST = "{\"headers\":{\"Retry-After\":\"3\"},\"turns_away\":true}";
+    private static final String NO_NOTICES = "{\"headers\":{},\"turns_away\":false}";
+    private static final String BACK_OFF = "{\"headers\":{\"Retry-After\":\"3\"},\"turns_away\":true}";
     private static final String STREAM =
             "{\"model\":\"m\",\"stream\":true,\"max_tokens\":2,\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]}";
 
     private final HttpClient client = HttpClient.newHttpClient();
 
     @Test
-    public void aServiceSaysThatItLeavesAndNamesALimitInEachAnswer() throws Exception {
+    public void aServiceSendsTheNoticeHeadersWithEachAnswer() throws Exception {
         try (ServiceStandin service = new ServiceStandin(0, 1)) {
-            call(service.url() + "/control/notices", LEAVES_WITH_LIMIT);
+            call(service.url() + "/control/notices", LEAVING_AND_LIMIT);
             for (int i = 0; i < 2; i++) {
                 HttpHeaders answer = call(service.url() + "/a", "").headers();
                 assertThat(answer.firstValue("leaving")).hasValue("1");
                 assertThat(answer.firstValue("limit")).hasValue("1.5");
             }
-            call(service.url() + "/control/notices", NOTHING);
+            call(service.url() + "/control/notices", NO_NOTICES);
             assertThat(call(service.url() + "/a", "").headers().firstValue("leaving"))
                     .isEmpty();
         }
     }
 
     @Test
-    public void anEngineNamesItInTheHeadOfAStream() throws Exception {
+    public void anEngineSendsTheNoticeHeadersWithAStream() throws Exception {
         try (EngineStandin engine = new EngineStandin(0, EngineSettings.fast())) {
             call(engine.url() + "/control/notices", LIMIT);
             HttpResponse<String> stream = call(engine.url() + "/v1/chat/completions", STREAM);
@@ -50,9 +50,9 @@
     }
 
     @Test
-    public void whatIsTurnedAwayIsNotRun() throws Exception {
+    public void refusedRequestsAreNotRun() throws Exception {
         try (ServiceStandin service = new ServiceStandin(0, 1)) {
-            call(service.url() + "/control/notices", REST);
+            call(service.url() + "/control/notices", BACK_OFF);
             HttpResponse<String> answer = call(service.url() + "/a", "");
             assertThat(answer.statusCode()).isEqualTo(503);
             assertThat(answer.headers().firstValue("Retry-After")).hasValue("3");
