--- a/standin/src/main/java/org/streamring/standin/StandinMain.java
+++ b/standin/src/main/java/org/streamring/standin/StandinMain.java
@@ -20,7 +20,7 @@
 public final class StandinMain {
     private StandinMain() {}
 
-    /** Runs one stand-in. */
+    /** Runs the command given on the command line. */
     public static void main(String[] arguments) {
         Cli<Runnable> commandLine = Cli.<Runnable>builder("streamring-standin")
                 .withDescription("Stand-ins for tests and the quick start")
@@ -46,12 +46,12 @@
         try {
             standin.close();
         } catch (Exception e) {
-            System.err.println("stopped badly: " + e);
+            System.err.println("error while closing the stand-in: " + e);
         }
         signal.stopped();
     }
 
-    /** Runs the platform's stand-in. */
+    /** Runs the stand-in for the platform. */
     @Command(name = "platform", description = "Table service, object store and box list")
     public static final class PlatformCommand implements Runnable {
         @Option(name = "--port", description = "Port on 127.0.0.1")
@@ -70,22 +70,22 @@
         }
     }
 
-    /** Runs a model engine's stand-in. */
+    /** Runs the stand-in for a model engine. */
     @Command(name = "engine", description = "Model engine")
     public static final class EngineCommand implements Runnable {
         @Option(name = "--port", description = "Port on 127.0.0.1")
         private int port;
 
-        @Option(name = "--step-millis", description = "Time of one step")
+        @Option(name = "--step-millis", description = "Duration of a step in milliseconds")
         private int stepMillis = 5;
 
-        @Option(name = "--max-batch", description = "Most sequences in one step")
+        @Option(name = "--max-batch", description = "Maximum number of sequences in a step")
         private int maxBatch = 16;
 
-        @Option(name = "--prefill-tokens", description = "Prompt tokens read in one step")
+        @Option(name = "--prefill-tokens", description = "Maximum number of prompt tokens read in a step")
         private int prefillTokens = 512;
 
-        @Option(name = "--cache-blocks", description = "Prefix blocks kept")
+        @Option(name = "--cache-blocks", description = "Maximum number of cached prefix blocks")
         private int cacheBlocks = 1024;
 
         @Override
@@ -96,13 +96,13 @@
         }
     }
 
-    /** Runs a plain service's stand-in. */
+    /** Runs the stand-in for a plain service. */
     @Command(name = "service", description = "Plain service")
     public static final class ServiceCommand implements Runnable {
         @Option(name = "--port", description = "Port on 127.0.0.1")
         private int port;
 
-        @Option(name = "--work-millis", description = "Time that a call takes")
+        @Option(name = "--work-millis", description = "Time from a call to its answer in milliseconds")
         private long workMillis = 5;
 
         @Override
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Runs a proxy. */
+    /** Runs a proxy that can inject faults. */
     @Command(name = "proxy", description = "Forwarding proxy between two processes")
     public static final class ProxyCommand implements Runnable {
         @Option(name = "--port", description = "Port on 127.0.0.1")
@@ -121,7 +121,7 @@
         @Option(name = "--target", description = "Target port on 127.0.0.1")
         private int target;
 
-        @Option(name = "--delay-millis", description = "Delay of what is forwarded")
+        @Option(name = "--delay-millis", description = "Delay of forwarded data in milliseconds")
         private long delayMillis;
 
         @Override
