--- a/core/src/main/java/org/streamring/kernel/admission/LoopLateness.java
+++ b/core/src/main/java/org/streamring/kernel/admission/EventLoopDelay.java
@@ -6,7 +6,7 @@
  * Detects delays of the event loop from the delays of its timers: received data may stay unread for about the same
  * time. Confined to one thread.
  */
-public final class LoopLateness {
+public final class EventLoopDelay {
     /**
      * Delay above which the loop is late: a quarter of the 0.5 s within which a disconnect of a caller must take
      * effect.
--- a/core/src/main/java/org/streamring/kernel/admission/LinkPace.java
+++ b/core/src/main/java/org/streamring/kernel/admission/LinkBacklog.java
@@ -13,7 +13,7 @@
  * account can exceed the link capacity of one entry. Written bytes then wait in the queue of the link for seconds and
  * cannot be withdrawn: requests arrive after their callers have disconnected, and so do their cancellations.
  */
-public final class LinkPace {
+public final class LinkBacklog {
     /** Half of the time within which a disconnect of a caller must reach a server. */
     public static final long MOST_QUEUED_MILLIS = 250;
 
@@ -44,7 +44,7 @@
      *
      * @param bytesPerSecond supplies the link rate; empty if it is unknown, in which case no request is delayed
      */
-    public LinkPace(Supplier<OptionalLong> bytesPerSecond) {
+    public LinkBacklog(Supplier<OptionalLong> bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
     }
 
--- a/core/src/main/java/org/streamring/kernel/admission/RequestDemand.java
+++ b/core/src/main/java/org/streamring/kernel/admission/RequestLiveness.java
@@ -3,7 +3,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Checks whether a request is still worth sending to a replica. Confined to one thread. */
-public final class RequestDemand {
+public final class RequestLiveness {
     /** Minimum time that any replica needs to answer a request. */
     static final long MIN_ANSWER_MILLIS = 30;
 
@@ -27,7 +27,7 @@
      *     earlier iteration of the event loop may be seconds old
      * @param deadlineMillis time at which the final answer must be complete
      */
-    public RequestDemand(BooleanSupplier callerPresent, long deadlineMillis) {
+    public RequestLiveness(BooleanSupplier callerPresent, long deadlineMillis) {
         this.callerPresent = callerPresent;
         this.deadlineMillis = deadlineMillis;
     }
--- a/core/src/main/java/org/streamring/kernel/admission/PlacePace.java
+++ b/core/src/main/java/org/streamring/kernel/admission/SlotReleaseRate.java
@@ -3,7 +3,7 @@
 /**
  * Measures the average rate at which slots were released recently, with exponential decay. Confined to one thread.
  */
-public final class PlacePace {
+public final class SlotReleaseRate {
     /** Covers both plain calls, which take about 90 ms, and streams, which take some seconds. */
     private static final double WINDOW_MILLIS = 1_000;
 
--- a/core/src/main/java/org/streamring/kernel/permit/NamedLimit.java
+++ b/core/src/main/java/org/streamring/kernel/permit/AnnouncedLimit.java
@@ -7,20 +7,20 @@
  * @param sentMillis when the newest request was sent whose answer announced the limit
  * @param heardMillis when such an answer was last received
  */
-record NamedLimit(double perSecond, long sentMillis, long heardMillis) {
+record AnnouncedLimit(double perSecond, long sentMillis, long heardMillis) {
     static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
     /**
      * Returns the limit in force after another answer. If the answer with the smaller limit was received before the
      * request of the larger one was sent, the larger limit applies; otherwise the smaller one does.
      */
-    NamedLimit combinedWith(NamedLimit other) {
+    AnnouncedLimit combinedWith(AnnouncedLimit other) {
         if (other.perSecond == perSecond) {
-            return new NamedLimit(
+            return new AnnouncedLimit(
                     perSecond, Math.max(sentMillis, other.sentMillis), Math.max(heardMillis, other.heardMillis));
         }
-        NamedLimit smaller = other.perSecond < perSecond ? other : this;
-        NamedLimit larger = other.perSecond < perSecond ? this : other;
+        AnnouncedLimit smaller = other.perSecond < perSecond ? other : this;
+        AnnouncedLimit larger = other.perSecond < perSecond ? this : other;
         return larger.sentMillis > smaller.heardMillis ? larger : smaller;
     }
 
--- a/core/src/main/java/org/streamring/kernel/permit/LimitNews.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitNews.java
@@ -15,7 +15,7 @@
     }
 
     /** Converts the ages to times of the receiver's clock; an update delayed on its way appears newer by that delay. */
-    NamedLimit asOf(long nowMillis) {
-        return new NamedLimit(perSecond, nowMillis - sentAgeMillis, nowMillis - heardAgeMillis);
+    AnnouncedLimit asOf(long nowMillis) {
+        return new AnnouncedLimit(perSecond, nowMillis - sentAgeMillis, nowMillis - heardAgeMillis);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
@@ -50,7 +50,7 @@
 
     /** State of one server that announces a limit. */
     private static final class Limited {
-        private @Nullable NamedLimit named;
+        private @Nullable AnnouncedLimit announced;
         private long limitLoweredMillis;
         private long lastPlacedMillis;
         private final Deque<Permit> permits = new ArrayDeque<>();
@@ -58,8 +58,8 @@
         private long nextRequestMillis;
         private int wanted;
 
-        private NamedLimit limit() {
-            return Objects.requireNonNull(named);
+        private AnnouncedLimit limit() {
+            return Objects.requireNonNull(announced);
         }
 
         /** Returns whether a permit is valid; a permit requested before the limit was lowered is not. */
@@ -97,7 +97,7 @@
         if (notice.kind() == LimitWord.Kind.UNREADABLE) {
             events.unreadable(incarnation, unreadable.add(incarnation));
         } else if (notice.perSecond() < MIN_UNLIMITED_PER_SECOND && notice.kind() == LimitWord.Kind.NAMED) {
-            recordLimit(incarnation, new NamedLimit(notice.perSecond(), sentMillis, nowMillis), "");
+            recordLimit(incarnation, new AnnouncedLimit(notice.perSecond(), sentMillis, nowMillis), "");
         } else {
             endLimit(incarnation, sentMillis, nowMillis);
         }
@@ -105,17 +105,17 @@
 
     /** Records a limit reported by another entry, if this entry has recorded none for the server. */
     public void recordReported(LimitNews update, String byEntry, long nowMillis) {
-        if (update.perSecond() != NamedLimit.UNLIMITED && !limited.containsKey(update.incarnation())) {
+        if (update.perSecond() != AnnouncedLimit.UNLIMITED && !limited.containsKey(update.incarnation())) {
             long sentMillis = nowMillis - update.sentAgeMillis();
-            recordLimit(update.incarnation(), new NamedLimit(update.perSecond(), sentMillis, nowMillis), byEntry);
+            recordLimit(update.incarnation(), new AnnouncedLimit(update.perSecond(), sentMillis, nowMillis), byEntry);
         }
     }
 
-    private void recordLimit(String incarnation, NamedLimit notice, String byEntry) {
+    private void recordLimit(String incarnation, AnnouncedLimit notice, String byEntry) {
         Limited state = limited.computeIfAbsent(incarnation, key -> new Limited());
-        Optional<NamedLimit> before = Optional.ofNullable(state.named);
-        NamedLimit after = before.map(older -> older.combinedWith(notice)).orElse(notice);
-        state.named = after;
+        Optional<AnnouncedLimit> before = Optional.ofNullable(state.announced);
+        AnnouncedLimit after = before.map(older -> older.combinedWith(notice)).orElse(notice);
+        state.announced = after;
         if (before.isPresent() && after.perSecond() < before.get().perSecond()) {
             state.permits.clear();
             state.limitLoweredMillis = notice.heardMillis();
@@ -184,9 +184,12 @@
                 .map(state -> toUpdate(incarnation, state.limit(), nowMillis));
     }
 
-    private static LimitNews toUpdate(String incarnation, NamedLimit named, long nowMillis) {
+    private static LimitNews toUpdate(String incarnation, AnnouncedLimit announced, long nowMillis) {
         return new LimitNews(
-                incarnation, named.perSecond(), nowMillis - named.sentMillis(), nowMillis - named.heardMillis());
+                incarnation,
+                announced.perSecond(),
+                nowMillis - announced.sentMillis(),
+                nowMillis - announced.heardMillis());
     }
 
     /**
--- a/core/src/main/java/org/streamring/kernel/permit/PermitDesk.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitCoordinator.java
@@ -11,7 +11,7 @@
  * Coordinates permits among entries: requests permits from their owners for this entry's requests, and issues permits
  * to other entries where this entry is an owner. Confined to one thread.
  */
-public final class PermitDesk {
+public final class PermitCoordinator {
     /** Time after which the next owner is asked; an owner that can be reached answers within a few milliseconds. */
     public static final long TIMEOUT_MILLIS = 100;
 
@@ -46,7 +46,7 @@
      * @param ownName name of this entry
      * @param events receives changes in the recorded limits of servers
      */
-    public PermitDesk(String ownName, PermitLink link, LimitEvents events) {
+    public PermitCoordinator(String ownName, PermitLink link, LimitEvents events) {
         this.ownName = ownName;
         this.link = link;
         this.events = events;
@@ -188,7 +188,7 @@
      * entries.
      */
     private void reportToOwners(LimitNews update) {
-        if (update.perSecond() != NamedLimit.UNLIMITED) {
+        if (update.perSecond() != AnnouncedLimit.UNLIMITED) {
             lastReported.put(update.incarnation(), new ReportedLimit(update.perSecond(), nowMillis));
         }
         issuer.apply(update, nowMillis);
@@ -207,7 +207,7 @@
         @Override
         public void unlimited(String incarnation, long sentAgeMillis) {
             lastReported.remove(incarnation);
-            reportToOwners(new LimitNews(incarnation, NamedLimit.UNLIMITED, sentAgeMillis, 0));
+            reportToOwners(new LimitNews(incarnation, AnnouncedLimit.UNLIMITED, sentAgeMillis, 0));
             events.unlimited(incarnation, sentAgeMillis);
         }
 
--- a/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
@@ -34,7 +34,7 @@
 
     /** Rate of one server's permits. */
     private static final class IssueRate {
-        private NamedLimit named;
+        private AnnouncedLimit announced;
         private double allowedPerSecond;
         private long changedMillis;
         private double nextMillis;
@@ -42,9 +42,9 @@
         private long lastRequestMillis;
         private int issued;
 
-        private IssueRate(NamedLimit named, long nowMillis) {
-            this.named = named;
-            this.allowedPerSecond = named.hasLimit() ? named.perSecond() : FIRST_AFTER_RAISE_PER_SECOND;
+        private IssueRate(AnnouncedLimit announced, long nowMillis) {
+            this.announced = announced;
+            this.allowedPerSecond = announced.hasLimit() ? announced.perSecond() : FIRST_AFTER_RAISE_PER_SECOND;
             restartInterval(nowMillis);
         }
 
@@ -57,26 +57,26 @@
             queueEndMillis = 0;
         }
 
-        private void update(NamedLimit newer, long nowMillis) {
-            NamedLimit before = named;
-            named = before.combinedWith(newer);
-            if (named.perSecond() > before.perSecond()) {
+        private void update(AnnouncedLimit newer, long nowMillis) {
+            AnnouncedLimit before = announced;
+            announced = before.combinedWith(newer);
+            if (announced.perSecond() > before.perSecond()) {
                 allowedPerSecond =
                         Math.max(FIRST_AFTER_RAISE_PER_SECOND, Math.min(before.perSecond(), allowedPerSecond));
                 changedMillis = nowMillis;
                 nextMillis = Math.min(nextMillis, (double) nowMillis);
                 queueEndMillis = 0;
-            } else if (named.perSecond() < before.perSecond()) {
-                allowedPerSecond = named.perSecond();
+            } else if (announced.perSecond() < before.perSecond()) {
+                allowedPerSecond = announced.perSecond();
                 restartInterval(nowMillis);
-            } else if (newer.perSecond() == named.perSecond() && newer.sentMillis() > changedMillis) {
+            } else if (newer.perSecond() == announced.perSecond() && newer.sentMillis() > changedMillis) {
                 allowedPerSecond = 2 * allowedPerSecond;
                 changedMillis = nowMillis;
             }
         }
 
         private double perSecond() {
-            return Math.max(MIN_PER_SECOND, Math.min(named.perSecond(), allowedPerSecond));
+            return Math.max(MIN_PER_SECOND, Math.min(announced.perSecond(), allowedPerSecond));
         }
     }
 
@@ -127,7 +127,7 @@
     /** Returns whether a server's limit is in force, that is, no later answer without a limit has ended it. */
     public boolean isInForce(String incarnation) {
         IssueRate rate = ratesByIncarnation.get(incarnation);
-        return rate != null && rate.named.hasLimit();
+        return rate != null && rate.announced.hasLimit();
     }
 
     /**
@@ -139,7 +139,7 @@
     public List<Double> takeUse(long sinceMillis, long nowMillis) {
         List<Double> fractions = new ArrayList<>();
         for (IssueRate rate : ratesByIncarnation.values()) {
-            if (rate.lastRequestMillis >= sinceMillis && rate.named.hasLimit()) {
+            if (rate.lastRequestMillis >= sinceMillis && rate.announced.hasLimit()) {
                 double limit = rate.perSecond() * (nowMillis - sinceMillis) / MILLIS_PER_SECOND;
                 fractions.add(rate.issued / limit);
             }
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementReport.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementReport.java
@@ -10,7 +10,7 @@
  *     from this entry are omitted
  * @param prompts prompts sent to replicas since the previous report
  */
-public record PlacementReport(Map<String, ReplicaShare> shares, List<PromptRead> prompts) {
+public record PlacementReport(Map<String, ReplicaShare> shares, List<SentPrompt> prompts) {
     /** Copies the map and the list. */
     public PlacementReport {
         shares = Map.copyOf(shares);
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
@@ -120,8 +120,8 @@
     public void reported(String entry, PlacementReport report, ToLongFunction<String> memoryOf, long nowMillis) {
         forget(entry);
         report.shares().forEach((id, share) -> state(id).setPeerShare(entry, share, nowMillis));
-        report.prompts().forEach(read -> state(read.replica())
-                .recordPeerPrompt(read.parts(), cacheTokens(memoryOf.applyAsLong(read.replica()))));
+        report.prompts().forEach(prompt -> state(prompt.replica())
+                .recordPeerPrompt(prompt.parts(), cacheTokens(memoryOf.applyAsLong(prompt.replica()))));
     }
 
     /** Removes the load of an entry that no longer sends reports. */
--- a/core/src/main/java/org/streamring/kernel/placement/PromptRead.java
+++ b/core/src/main/java/org/streamring/kernel/placement/SentPrompt.java
@@ -8,9 +8,9 @@
  * @param replica identifier of the replica
  * @param parts parts of the prompt that other prompts may share, in order
  */
-public record PromptRead(String replica, List<PromptPart> parts) {
+public record SentPrompt(String replica, List<PromptPart> parts) {
     /** Copies the list. */
-    public PromptRead {
+    public SentPrompt {
         parts = List.copyOf(parts);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/placement/UnreportedPrompts.java
+++ b/core/src/main/java/org/streamring/kernel/placement/UnreportedPrompts.java
@@ -11,7 +11,7 @@
     /** Prompts that take at least this long delay other prompts at the same replica noticeably. */
     private static final double LONG_PROMPT_MILLIS = 100;
 
-    private final List<PromptRead> prompts = new ArrayList<>();
+    private final List<SentPrompt> prompts = new ArrayList<>();
     private Runnable onLongPrompt = () -> {};
 
     void onLongPrompt(Runnable listener) {
@@ -23,12 +23,12 @@
             onLongPrompt.run();
         }
         if (!prompt.shared().isEmpty() && prompts.size() < MAX_PROMPTS) {
-            prompts.add(new PromptRead(replica, prompt.shared()));
+            prompts.add(new SentPrompt(replica, prompt.shared()));
         }
     }
 
-    List<PromptRead> drain() {
-        List<PromptRead> drained = List.copyOf(prompts);
+    List<SentPrompt> drain() {
+        List<SentPrompt> drained = List.copyOf(prompts);
         prompts.clear();
         return drained;
     }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableRise.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableCapRise.java
@@ -9,7 +9,7 @@
  * successor would have to assume that a dead incarnation used its leases for one more write interval: 0.85 s of 3.2 s
  * with 30 entries. Confined to one thread.
  */
-public final class DurableRise {
+public final class DurableCapRise {
     private RiseStart usable;
     private RiseStart confirmedValue;
     private boolean uncertain;
@@ -23,7 +23,7 @@
     public record RiseStart(long localMillis, long storeMillis) {}
 
     /** Creates the state before the first row is written. */
-    public DurableRise() {
+    public DurableCapRise() {
         this.usable = new RiseStart(0, 0);
         this.confirmedValue = usable;
     }
--- a/core/src/main/java/org/streamring/kernel/prepaid/AccountHomes.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/HomeEntries.java
@@ -16,7 +16,7 @@
  * <p>If two entries see different fleet members, they may only ask the wrong entries for tokens; limits still hold.
  * Confined to one thread.
  */
-public final class AccountHomes {
+public final class HomeEntries {
     /** Maximum size of a fleet in which every entry holds leases of every account. */
     private static final int MAX_SMALL_FLEET_ENTRIES = 8;
 
@@ -50,7 +50,7 @@
      *
      * @param own name of this entry
      */
-    public AccountHomes(String own) {
+    public HomeEntries(String own) {
         this.own = own;
         this.entries = List.of(own);
         this.holders = Set.of(own);
--- a/core/src/main/java/org/streamring/kernel/prepaid/PrepaidBook.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/PrepaidLedger.java
@@ -13,7 +13,7 @@
  * durably leased to this incarnation, or that another entry lent out of its own lease, are spent. A larger lease is
  * usable after its write is confirmed; a smaller one applies as soon as its write is proposed. Confined to one thread.
  */
-public final class PrepaidBook {
+public final class PrepaidLedger {
     private static final double MIN_TARGET_SHARE = 0.7;
     private static final double MAX_TARGET_SHARE = 1.4;
     /**
@@ -71,7 +71,7 @@
      * @param incarnation identifier of this process, different from that of every other process
      * @param settings sizing of leases
      */
-    public PrepaidBook(String incarnation, PrepaidSettings settings) {
+    public PrepaidLedger(String incarnation, PrepaidSettings settings) {
         this.incarnation = incarnation;
         this.settings = settings;
         this.release = new DurableRelease(settings.cover().toMillis());
--- a/core/src/main/java/org/streamring/kernel/prepaid/RenewalPace.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/RenewalInterval.java
@@ -1,7 +1,7 @@
 package org.streamring.kernel.prepaid;
 
 /** Calculates the interval at which entries write their leases and usage caps. */
-public final class RenewalPace {
+public final class RenewalInterval {
     private static final long BASE_MILLIS = 400;
     /**
      * Interval added for each writer. The store executes the transactions of a partition sequentially, 5 ms each; with
@@ -9,7 +9,7 @@
      */
     private static final long MILLIS_PER_WRITER = 15;
 
-    private RenewalPace() {}
+    private RenewalInterval() {}
 
     /**
      * Returns the time between two renewals. The interval of entries that hold leases must stay below their silence
--- a/core/src/main/java/org/streamring/kernel/prepaid/WitnessNotes.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/WitnessRecords.java
@@ -11,7 +11,7 @@
  * valid. Records are kept for the lifetime of this process, because an answer without a record means that none was
  * made. Confined to one thread.
  */
-public final class WitnessNotes {
+public final class WitnessRecords {
     /**
      * Maximum number of incarnations with records; further incarnations are refused. The entry restarts during the
      * lifetime of a process stay far below this number.
--- a/core/src/main/java/org/streamring/kernel/receipt/ReceiptBook.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/ReceiptStore.java
@@ -27,7 +27,7 @@
  *
  * <p>Thread-safe. Its lock is a leaf lock: no other lock is acquired while it is held.
  */
-public final class ReceiptBook {
+public final class ReceiptStore {
     private final ReceiptBookSettings settings;
     private final Map<String, Receipt> receipts = new HashMap<>();
     private final Map<String, RequestState> requests = new LinkedHashMap<>();
@@ -62,7 +62,7 @@
     }
 
     /** Creates an empty receipt store. */
-    public ReceiptBook(ReceiptBookSettings settings) {
+    public ReceiptStore(ReceiptBookSettings settings) {
         this.settings = settings;
     }
 
--- a/core/src/main/java/org/streamring/kernel/recovery/EntryWatch.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/EntryFailureDetector.java
@@ -13,7 +13,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class EntryWatch {
+public final class EntryFailureDetector {
     private final Duration suspectAfter;
     private final Map<String, LastChange> seen = new HashMap<>();
     private long lastScanMillis = Long.MIN_VALUE;
@@ -25,7 +25,7 @@
      *
      * @param suspectAfter time without a change after which an entry is suspected to be dead
      */
-    public EntryWatch(Duration suspectAfter) {
+    public EntryFailureDetector(Duration suspectAfter) {
         this.suspectAfter = suspectAfter;
     }
 
--- a/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
@@ -92,9 +92,9 @@
      * @param answers final answers of the sidecars that answered
      * @param known items that the holder wrote before it died and that are not settled yet
      */
-    public record Findings(List<String> peers, List<PeerReceipts> answers, List<BillItem> known) {
+    public record CollectedReceipts(List<String> peers, List<PeerReceipts> answers, List<BillItem> known) {
         /** Creates findings with copies of the lists. */
-        public Findings {
+        public CollectedReceipts {
             peers = List.copyOf(peers);
             answers = List.copyOf(answers);
             known = List.copyOf(known);
@@ -113,7 +113,7 @@
      * @param entryRow the entry's row, marked as being closed by this closer
      * @param leaseRows rows of at most {@value #MAX_LEASES} leases
      */
-    public Settlement settle(Row entryRow, List<Row> leaseRows, Findings findings, long nowMillis) {
+    public Settlement settle(Row entryRow, List<Row> leaseRows, CollectedReceipts collected, long nowMillis) {
         Map<String, BillItem> items = new HashMap<>();
         Map<String, Long> budgetDeltas = new LinkedHashMap<>();
         List<RowOperation> operations = new ArrayList<>();
@@ -122,15 +122,15 @@
         for (Row leaseRow : leaseRows) {
             String leaseId = leaseIdOf(leaseRow);
             String budget = RowText.read(leaseRow.text(), LeaseRecord.class).budget();
-            Map<String, BillItem> leaseItems = itemsOf(leaseId, findings, nowMillis);
+            Map<String, BillItem> leaseItems = itemsOf(leaseId, collected, nowMillis);
             items.putAll(leaseItems);
             long spent =
                     leaseItems.values().stream().mapToLong(BillItem::tokens).sum();
             long rest = Math.max(0, leaseRow.amount() - spent);
-            long held = findings.silent().isEmpty() ? 0 : rest;
+            long held = collected.silent().isEmpty() ? 0 : rest;
             operations.add(new Delete(leaseRow.key(), leaseRow.version()));
             if (held > 0) {
-                HeldRecord record = new HeldRecord(budget, leaseId, List.of(), findings.silent());
+                HeldRecord record = new HeldRecord(budget, leaseId, List.of(), collected.silent());
                 operations.add(new Insert(RowKeys.heldRemainder(leaseId, "rest"), held, RowText.write(record)));
             }
             budgetDeltas.merge(RowKeys.settled(budget), spent, Long::sum);
@@ -148,12 +148,12 @@
         return leaseRow.key().substring(RowKeys.lease("").length());
     }
 
-    private static Map<String, BillItem> itemsOf(String leaseId, Findings findings, long nowMillis) {
+    private static Map<String, BillItem> itemsOf(String leaseId, CollectedReceipts collected, long nowMillis) {
         Map<String, BillItem> items = new HashMap<>();
-        findings.known().stream()
+        collected.known().stream()
                 .filter(item -> item.lease().equals(leaseId))
                 .forEach(item -> items.put(item.attempt(), item));
-        for (PeerReceipts answer : findings.answers()) {
+        for (PeerReceipts answer : collected.answers()) {
             answer.receipts().stream()
                     .filter(receipt -> receipt.leaseId().equals(leaseId))
                     .map(receipt -> BillItem.of(receipt, answer.peer(), nowMillis))
--- a/core/src/test/java/org/streamring/kernel/admission/PlacePaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/SlotReleaseRateTest.java
@@ -6,17 +6,17 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-public class PlacePaceTest {
+public class SlotReleaseRateTest {
     @Test
     public void aConstantRateIsMeasuredWithinSeconds() {
-        PlacePace rate = new PlacePace();
+        SlotReleaseRate rate = new SlotReleaseRate();
         LongStream.range(0, 200).map(each -> each * 25).forEach(rate::freed);
         assertThat(rate.perMilli(5_000)).isCloseTo(1 / 25.0, within(0.002));
     }
 
     @Test
     public void theRateDecaysAfterReleasesEnd() {
-        PlacePace rate = new PlacePace();
+        SlotReleaseRate rate = new SlotReleaseRate();
         LongStream.range(0, 40).map(each -> each * 25).forEach(rate::freed);
         assertThat(rate.perMilli(6_000)).isLessThan(0.001);
     }
--- a/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
@@ -30,38 +30,38 @@
 
     /** Uses the permits of one owner, as in production. */
     static final class PermitStrategy implements Strategy {
-        private final PermitDesk desk;
+        private final PermitCoordinator coordinator;
         private final Map<String, Deque<Optional<Permit>>> placed = new HashMap<>();
 
-        PermitStrategy(PermitDesk desk) {
-            this.desk = desk;
+        PermitStrategy(PermitCoordinator coordinator) {
+            this.coordinator = coordinator;
         }
 
         @Override
         public boolean takes(String server, long now) {
-            desk.wanted(server, now);
-            return desk.limits().takes(server, now);
+            coordinator.wanted(server, now);
+            return coordinator.limits().takes(server, now);
         }
 
         @Override
         public void place(String server, long now) {
             placed.computeIfAbsent(server, key -> new ArrayDeque<>())
-                    .addLast(desk.limits().place(server, now));
+                    .addLast(coordinator.limits().place(server, now));
         }
 
         @Override
         public boolean mayBeSent(String server, long now) {
             Optional<Permit> permit = placed.get(server).removeFirst();
-            boolean allowed = desk.limits().mayBeSent(server, permit, now);
+            boolean allowed = coordinator.limits().mayBeSent(server, permit, now);
             if (!allowed) {
-                permit.ifPresent(desk.limits()::notSent);
+                permit.ifPresent(coordinator.limits()::notSent);
             }
             return allowed;
         }
 
         @Override
         public void answered(String server, LimitWord notice, long sentMillis, long now) {
-            desk.answered(server, notice, sentMillis, now);
+            coordinator.answered(server, notice, sentMillis, now);
         }
     }
 
--- a/core/src/test/java/org/streamring/kernel/permit/LimitSimulation.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitSimulation.java
@@ -60,7 +60,7 @@
         private Set<String> view = Set.of();
         private final Set<Box> unreachable = new HashSet<>();
         private final Map<Box, Long> cutSince = new HashMap<>();
-        private PermitDesk coordinator;
+        private PermitCoordinator coordinator;
         private Strategy strategy;
 
         private Box(String name, double requestRate) {
@@ -72,7 +72,7 @@
             alive = true;
             startCount++;
             view = Set.of();
-            coordinator = new PermitDesk(name, this, new NoOpLimitEvents());
+            coordinator = new PermitCoordinator(name, this, new NoOpLimitEvents());
             strategy = switch (division) {
                 case PERMITS -> new PermitStrategy(coordinator);
                 case THREE_OWNERS -> new FixedShareStrategy(name, () -> view, 3, 6);
@@ -211,7 +211,7 @@
         @Override
         public void ask(String entry, long number, PermitAsk ask) {
             int ofStart = startCount;
-            schedule(ofStart, PermitDesk.TIMEOUT_MILLIS, () -> coordinator.goOnWithUnanswered(now));
+            schedule(ofStart, PermitCoordinator.TIMEOUT_MILLIS, () -> coordinator.goOnWithUnanswered(now));
             deliver(entry, other -> {
                 PermitGrant grant = other.coordinator.asked(name, ask, now);
                 other.deliver(name, requester -> {
--- a/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
@@ -25,7 +25,7 @@
 
     @Test
     public void theFirstOwnerIssuesPermitsToItself() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
         announceLimit(coordinator, 10, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
@@ -36,7 +36,7 @@
 
     @Test
     public void otherEntriesAskTheFirstOwnerAndUseItsAnswer() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(0));
@@ -47,20 +47,20 @@
 
     @Test
     public void theSecondOwnerIsAskedIfTheFirstDoesNotAnswer() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
-        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitDesk.TIMEOUT_MILLIS);
+        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
         assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(1));
     }
 
     @Test
     public void aLateAnswerGrantsNoPermit() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         long first = lastNumber;
-        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitDesk.TIMEOUT_MILLIS);
+        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
         coordinator.granted(first, new PermitGrant(1, 0), AFTER_VIEW_PROPAGATION + 3_000);
         assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 3_000))
                 .isFalse();
@@ -68,7 +68,7 @@
 
     @Test
     public void noRequestIsPlacedIfNoOwnerCanBeReached() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), Set.of());
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), Set.of());
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         assertThat(sent).isEmpty();
@@ -80,7 +80,7 @@
 
     @Test
     public void anOwnerRecordsTheLimitInAPermitRequest() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
         coordinator.asked(
                 ENTRIES_BY_RANK.get(2),
                 new PermitAsk(new LimitNews(INCARNATION, 1, 20, 10), 1),
@@ -90,7 +90,7 @@
 
     @Test
     public void ownersReceiveUpdatesOnALimitAndItsEnd() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.answered(INCARNATION, LimitWord.NONE, AFTER_VIEW_PROPAGATION + 1, AFTER_VIEW_PROPAGATION + 20);
         assertThat(sent)
@@ -103,25 +103,25 @@
 
     @Test
     public void anOutdatedUpdateDoesNotEndALimit() {
-        PermitDesk coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
+        PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.told(
                 ENTRIES_BY_RANK.get(2),
-                new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 500, 400),
+                new LimitNews(INCARNATION, AnnouncedLimit.UNLIMITED, 500, 400),
                 AFTER_VIEW_PROPAGATION + 100);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
         assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
                 .isFalse();
     }
 
-    private PermitDesk coordinator(String ownName, Set<String> connected) {
-        PermitDesk coordinator = new PermitDesk(ownName, new RecordingLink(), new NoOpLimitEvents());
+    private PermitCoordinator coordinator(String ownName, Set<String> connected) {
+        PermitCoordinator coordinator = new PermitCoordinator(ownName, new RecordingLink(), new NoOpLimitEvents());
         coordinator.entries(ENTRIES, connected, 0);
         coordinator.entries(ENTRIES, connected, AFTER_VIEW_PROPAGATION);
         return coordinator;
     }
 
-    private static void announceLimit(PermitDesk coordinator, double perSecond, long nowMillis) {
+    private static void announceLimit(PermitCoordinator coordinator, double perSecond, long nowMillis) {
         coordinator.answered(INCARNATION, LimitWord.named(perSecond), nowMillis - 50, nowMillis);
     }
 
--- a/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
@@ -63,14 +63,14 @@
     @Test
     public void afterTheEndOfALimitTheRateGrowsWithEachConfirmingAnswer() {
         issuer.answer(ask(0.05, 0, 0, 1), 1, 0);
-        issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 50, 0), 1_000);
+        issuer.apply(new LimitNews(INCARNATION, AnnouncedLimit.UNLIMITED, 50, 0), 1_000);
         assertThat(issuer.isInForce(INCARNATION)).isFalse();
         assertThat(issuer.answer(ask(0.05, 1_000, 1_000, 1), 1, 1_000).count())
                 .as("the first permit after the end of the limit")
                 .isEqualTo(1);
         assertThat(issuer.answer(ask(0.05, 1_100, 1_100, 1), 1, 1_100).count()).isZero();
         for (int now = 1_200; now < 3_000; now += 100) {
-            issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 50, 0), now);
+            issuer.apply(new LimitNews(INCARNATION, AnnouncedLimit.UNLIMITED, 50, 0), now);
         }
         assertThat(issuer.answer(ask(0.05, 3_000, 3_000, 1), 1, 3_000).count()).isEqualTo(1);
         assertThat(issuer.answer(ask(0.05, 3_010, 3_010, 1), 1, 3_010).count()).isEqualTo(1);
@@ -79,7 +79,7 @@
     @Test
     public void aLimitReceivedAfterTheEndIsInForceAgain() {
         issuer.answer(ask(1, 0, 0, 1), 1, 0);
-        issuer.apply(new LimitNews(INCARNATION, NamedLimit.UNLIMITED, 10, 0), 1_000);
+        issuer.apply(new LimitNews(INCARNATION, AnnouncedLimit.UNLIMITED, 10, 0), 1_000);
         issuer.answer(ask(1, 200, 5, 1), 1, 1_100);
         assertThat(issuer.isInForce(INCARNATION)).isTrue();
     }
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableRiseTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableCapRiseTest.java
@@ -2,20 +2,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.streamring.kernel.prepaid.DurableRise.RiseStart;
+import org.streamring.kernel.prepaid.DurableCapRise.RiseStart;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class DurableRiseTest {
+public class DurableCapRiseTest {
     private static final RiseStart FIRST = new RiseStart(100, 1_100);
     private static final RiseStart SECOND = new RiseStart(900, 1_900);
     private static final RiseStart THIRD = new RiseStart(1_700, 2_700);
 
-    private DurableRise rise;
+    private DurableCapRise rise;
 
     @BeforeMethod
     public void setUp() {
-        rise = new DurableRise();
+        rise = new DurableCapRise();
         rise.proposed(FIRST);
         rise.confirmed();
     }
--- a/core/src/test/java/org/streamring/kernel/prepaid/FleetSimulation.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/FleetSimulation.java
@@ -60,51 +60,51 @@
     private record Running(long endMillis, Entry entry, String account, long reserved, long used) {}
 
     private final class Entry {
-        private final PrepaidBook book;
-        private final AccountHomes homes;
+        private final PrepaidLedger ledger;
+        private final HomeEntries homeEntries;
         private final long writeOffsetMillis;
         private long confirmedMillis;
         private MarkRow caps = new MarkRow("", 0, Map.of(), Set.of(), 0);
 
         private Entry(int number, int count) {
-            this.book = new PrepaidBook("entry-" + number + ".a", SETTINGS);
-            this.homes = new AccountHomes("entry-" + number);
-            this.homes.others(
+            this.ledger = new PrepaidLedger("entry-" + number + ".a", SETTINGS);
+            this.homeEntries = new HomeEntries("entry-" + number);
+            this.homeEntries.others(
                     IntStream.range(0, count).mapToObj(each -> "entry-" + each).toList());
             this.writeOffsetMillis = random.nextLong(writeIntervalMillis(count));
         }
 
         private void write() {
-            book.sample(nowMillis);
+            ledger.sample(nowMillis);
             Map<String, Mark> written = new HashMap<>();
             for (String account : accounts) {
                 PrepaidRow row = rows.get(account);
-                PrepaidBook.Proposal proposal = homes.isHome(account)
-                        ? book.plan(account, row, homes.of(account).size(), homes.shape())
-                        : book.planBorrower(account, row);
-                book.proposed(proposal);
+                PrepaidLedger.Proposal proposal = homeEntries.isHome(account)
+                        ? ledger.plan(account, row, homeEntries.of(account).size(), homeEntries.shape())
+                        : ledger.planBorrower(account, row);
+                ledger.proposed(proposal);
                 proposal.row().ifPresent(changed -> rows.put(account, changed));
-                book.confirmed(proposal);
+                ledger.confirmed(proposal);
                 written.put(account, proposal.mark());
             }
             Set<String> named = Set.of("witness");
-            book.witnesses().proposed(named);
-            book.witnesses().confirmed(named);
-            long releaseMillis = homes.shape().release().toMillis();
-            book.release().proposed(releaseMillis);
-            book.release().confirmed(releaseMillis);
+            ledger.witnesses().proposed(named);
+            ledger.witnesses().confirmed(named);
+            long releaseMillis = homeEntries.shape().release().toMillis();
+            ledger.release().proposed(releaseMillis);
+            ledger.release().confirmed(releaseMillis);
             confirmedMillis = nowMillis;
-            book.storeSilentFor(0);
-            caps = new MarkRow(book.incarnation(), nowMillis, written, named, releaseMillis);
+            ledger.storeSilentFor(0);
+            caps = new MarkRow(ledger.incarnation(), nowMillis, written, named, releaseMillis);
         }
 
         private long kept(String account) {
-            return PrepaidBook.kept(rows.get(account).limit(), entries.size());
+            return PrepaidLedger.kept(rows.get(account).limit(), entries.size());
         }
 
         private void reportUse() {
-            if (book.needsNotes()) {
-                book.noted("witness", book.wantedNotes());
+            if (ledger.needsNotes()) {
+                ledger.noted("witness", ledger.wantedNotes());
             }
         }
 
@@ -113,55 +113,58 @@
             long patience = SETTINGS.patience().toMillis();
             long lost = 0;
             for (String account : accounts) {
-                Holding holding = rows.get(account).holding(book.incarnation()).orElse(new Holding(0, 0));
+                Holding holding =
+                        rows.get(account).holding(ledger.incarnation()).orElse(new Holding(0, 0));
                 long counted = caps.heldBy(nowMillis, patience)
                         ? caps.usedAtMost(account, holding.granted(), nowMillis, patience)
                         : caps.releasedAtMost(account, holding.granted(), nowMillis, patience);
                 lost += Math.max(
-                        0, counted - book.planClose(account, rows.get(account)).granted());
+                        0,
+                        counted - ledger.planClose(account, rows.get(account)).granted());
             }
             return lost;
         }
 
         private long lend(String account, long asked) {
-            if (book.available(account) < asked) {
-                book.addWaiting(account, asked);
+            if (ledger.available(account) < asked) {
+                ledger.addWaiting(account, asked);
                 if (!inOutage()) {
                     write();
-                } else if (book.noteWouldHelp(account, asked)) {
+                } else if (ledger.noteWouldHelp(account, asked)) {
                     reportUse();
                 }
-                book.addWaiting(account, -asked);
+                ledger.addWaiting(account, -asked);
             }
-            return homes.allAreHomes() ? book.lendWithSpare(account, asked) : book.lend(account, asked);
+            return homeEntries.allAreHomes() ? ledger.lendWithSpare(account, asked) : ledger.lend(account, asked);
         }
 
         private boolean reserve(String account, long tokens) {
-            if (book.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
+            if (ledger.reserve(account, tokens) == PrepaidLedger.Outcome.RESERVED) {
                 return true;
             }
-            for (String home : homes.of(account)) {
-                long lacking = tokens - book.available(account);
+            for (String home : homeEntries.of(account)) {
+                long lacking = tokens - ledger.available(account);
                 Entry lender = entries.get(Integer.parseInt(home.substring("entry-".length())));
                 if (lacking > 0 && lender != this) {
-                    book.borrow(account, lender.lend(account, lacking));
+                    ledger.borrow(account, lender.lend(account, lacking));
                 }
             }
-            if (book.available(account) < tokens && homes.isHome(account)) {
+            if (ledger.available(account) < tokens && homeEntries.isHome(account)) {
                 reportUse();
             }
-            return book.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED;
+            return ledger.reserve(account, tokens) == PrepaidLedger.Outcome.RESERVED;
         }
 
         private void returnIdle() {
             for (String account : accounts) {
-                if (!homes.isHome(account)) {
-                    long idle = book.giveUpIdle(account, kept(account));
+                if (!homeEntries.isHome(account)) {
+                    long idle = ledger.giveUpIdle(account, kept(account));
                     if (idle > 0) {
-                        String home = homes.of(account)
-                                .get(random.nextInt(homes.of(account).size()));
+                        String home = homeEntries
+                                .of(account)
+                                .get(random.nextInt(homeEntries.of(account).size()));
                         entries.get(Integer.parseInt(home.substring("entry-".length())))
-                                .book
+                                .ledger
                                 .borrow(account, idle);
                     }
                 }
@@ -231,7 +234,7 @@
     }
 
     private void tick(Entry entry) {
-        entry.book.storeSilentFor(inOutage() ? nowMillis - entry.confirmedMillis : 0);
+        entry.ledger.storeSilentFor(inOutage() ? nowMillis - entry.confirmedMillis : 0);
         long intervalMillis = writeIntervalMillis(entries.size());
         if (!inOutage() && (nowMillis + entry.writeOffsetMillis) % intervalMillis < STEP_MILLIS) {
             entry.write();
@@ -258,7 +261,7 @@
     private void settleEndedRequests() {
         while (!running.isEmpty() && running.peek().endMillis() <= nowMillis) {
             Running ended = running.poll();
-            ended.entry().book.settle(ended.account(), ended.reserved(), ended.used());
+            ended.entry().ledger.settle(ended.account(), ended.reserved(), ended.used());
             spent += ended.used();
             inUse.merge(ended.account(), ended.used() - ended.reserved(), Long::sum);
         }
--- a/core/src/test/java/org/streamring/kernel/prepaid/PrepaidFaultInjectionTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/PrepaidFaultInjectionTest.java
@@ -123,12 +123,12 @@
     private static final class Entry {
         private final int box;
         private final String incarnation;
-        private final PrepaidBook book;
+        private final PrepaidLedger ledger;
         private final long startMillis;
         private boolean reclaimed;
-        private final DurableRise rise = new DurableRise();
+        private final DurableCapRise rise = new DurableCapRise();
         private boolean cutOff;
-        private final WitnessNotes witnessRecords = new WitnessNotes();
+        private final WitnessRecords witnessRecords = new WitnessRecords();
         private Optional<MarkRow> predecessor = Optional.empty();
         private final Map<String, Map<String, Long>> witnessAnswers = new HashMap<>();
 
@@ -136,7 +136,7 @@
             this.box = box;
             this.incarnation = incarnation;
             this.startMillis = startMillis;
-            this.book = new PrepaidBook(incarnation, PrepaidSettings.DEFAULT);
+            this.ledger = new PrepaidLedger(incarnation, PrepaidSettings.DEFAULT);
         }
     }
 
@@ -158,7 +158,7 @@
         /** Whether the fleet grows and shrinks, so that the sizing of leases changes. */
         private boolean leaseSizingChanges;
 
-        private final Map<String, PrepaidBook> dead = new HashMap<>();
+        private final Map<String, PrepaidLedger> dead = new HashMap<>();
         private final List<SentUsageReport> usageReports = new ArrayList<>();
 
         private Simulation(int seed) {
@@ -182,9 +182,9 @@
         }
 
         private void act(Entry entry) {
-            entry.book.sample(nowMillis);
+            entry.ledger.sample(nowMillis);
             if (entry.reclaimed) {
-                entry.book.storeSilentFor(
+                entry.ledger.storeSilentFor(
                         nowMillis - entry.rise.usable().localMillis(),
                         nowMillis - entry.rise.inForce().localMillis());
             }
@@ -194,7 +194,7 @@
             int draw = random.nextInt(1_000);
             if (draw < 4) {
                 entries.remove(entry.box);
-                dead.put(entry.incarnation, entry.book);
+                dead.put(entry.incarnation, entry.ledger);
                 nowMillis += random.nextInt(6) * 1_000L;
                 start(entry.box);
             } else if (draw < 12) {
@@ -206,17 +206,17 @@
 
         private void serve(Entry entry) {
             long tokens = 1L + random.nextInt(400);
-            if (entry.book.reserve(ACCOUNT, tokens) == PrepaidBook.Outcome.RESERVED) {
+            if (entry.ledger.reserve(ACCOUNT, tokens) == PrepaidLedger.Outcome.RESERVED) {
                 long used = random.nextInt((int) tokens + 1);
                 spent += used;
-                entry.book.settle(ACCOUNT, tokens, used);
+                entry.ledger.settle(ACCOUNT, tokens, used);
                 return;
             }
             Entry lender = entries.get(random.nextInt(ENTRIES));
             if (lender != entry) {
-                long lent = lender.book.lend(ACCOUNT, tokens);
+                long lent = lender.ledger.lend(ACCOUNT, tokens);
                 boolean arrives = random.nextInt(10) > 0;
-                entry.book.borrow(ACCOUNT, arrives ? lent : 0);
+                entry.ledger.borrow(ACCOUNT, arrives ? lent : 0);
             }
         }
 
@@ -226,14 +226,15 @@
                 return;
             }
             boolean borrower = someEntriesBorrow && (entry.box + nowMillis / ROLE_CHANGE_MILLIS) % 2 == 0;
-            PrepaidBook.Proposal proposal =
-                    borrower ? entry.book.planBorrower(ACCOUNT, row) : entry.book.plan(ACCOUNT, row, ENTRIES, shape());
-            entry.book.proposed(proposal);
+            PrepaidLedger.Proposal proposal = borrower
+                    ? entry.ledger.planBorrower(ACCOUNT, row)
+                    : entry.ledger.plan(ACCOUNT, row, ENTRIES, shape());
+            entry.ledger.proposed(proposal);
             Set<String> namedWitnesses = chooseWitnesses(entry);
-            entry.book.witnesses().proposed(namedWitnesses);
+            entry.ledger.witnesses().proposed(namedWitnesses);
             long releaseMillis = shape().release().toMillis();
-            entry.book.release().proposed(releaseMillis);
-            DurableRise.RiseStart start = entry.rise.proposed(new DurableRise.RiseStart(nowMillis, nowMillis));
+            entry.ledger.release().proposed(releaseMillis);
+            DurableCapRise.RiseStart start = entry.rise.proposed(new DurableCapRise.RiseStart(nowMillis, nowMillis));
             MarkRow newMarks = new MarkRow(
                     entry.incarnation,
                     start.storeMillis(),
@@ -245,28 +246,28 @@
                 long due = nowMillis + random.nextInt(6_000);
                 delayedWrites.add(
                         new DelayedWrite(due, rowVersion, marksVersion(entry.box), entry, proposal.row(), newMarks));
-                entry.book.unanswered(proposal);
-                entry.book.witnesses().unanswered();
-                entry.book.release().unanswered();
+                entry.ledger.unanswered(proposal);
+                entry.ledger.witnesses().unanswered();
+                entry.ledger.release().unanswered();
                 entry.rise.unanswered();
             } else if (outcome == 1) {
                 commit(entry.box, proposal.row(), newMarks);
-                entry.book.unanswered(proposal);
-                entry.book.witnesses().unanswered();
-                entry.book.release().unanswered();
+                entry.ledger.unanswered(proposal);
+                entry.ledger.witnesses().unanswered();
+                entry.ledger.release().unanswered();
                 entry.rise.unanswered();
             } else if (outcome == 2) {
-                entry.book.refused(proposal);
-                entry.book.witnesses().refused();
-                entry.book.release().refused();
+                entry.ledger.refused(proposal);
+                entry.ledger.witnesses().refused();
+                entry.ledger.release().refused();
                 entry.rise.refused();
             } else {
                 commit(entry.box, proposal.row(), newMarks);
                 entry.rise.confirmed();
-                entry.book.storeSilentFor(nowMillis - start.localMillis());
-                entry.book.confirmed(proposal);
-                entry.book.witnesses().confirmed(namedWitnesses);
-                entry.book.release().confirmed(releaseMillis);
+                entry.ledger.storeSilentFor(nowMillis - start.localMillis());
+                entry.ledger.confirmed(proposal);
+                entry.ledger.witnesses().confirmed(namedWitnesses);
+                entry.ledger.release().confirmed(releaseMillis);
             }
         }
 
@@ -280,13 +281,13 @@
             Optional<MarkRow> predecessorRow = Optional.ofNullable(marks.get(entry.box));
             Optional<PrepaidRow> changed = predecessorRow
                     .filter(each -> each.heldBy(entry.startMillis, SILENCE_TIMEOUT_MILLIS - MARGIN_MILLIS))
-                    .flatMap(each -> entry.book.reclaim(ACCOUNT, row, each, entry.startMillis));
+                    .flatMap(each -> entry.ledger.reclaim(ACCOUNT, row, each, entry.startMillis));
             changed.ifPresent(
                     next -> checkReclaimed(predecessorRow.orElseThrow().incarnation(), next));
             commit(entry.box, changed, new MarkRow(entry.incarnation, 0, Map.of(), Set.of(), COVER_MILLIS));
             entry.predecessor = predecessorRow.filter(each -> changed.isEmpty());
             entry.reclaimed = true;
-            entry.rise.proposed(new DurableRise.RiseStart(nowMillis, nowMillis));
+            entry.rise.proposed(new DurableCapRise.RiseStart(nowMillis, nowMillis));
             entry.rise.confirmed();
         }
 
@@ -299,7 +300,7 @@
 
         private Set<String> chooseWitnesses(Entry entry) {
             if (!witnessed || random.nextInt(4) == 0) {
-                return entry.book.witnesses().usable();
+                return entry.ledger.witnesses().usable();
             }
             return entries.values().stream()
                     .filter(other -> other != entry && random.nextInt(3) > 0)
@@ -308,11 +309,11 @@
         }
 
         private void sendUsageReports(Entry entry) {
-            if (!entry.book.needsNotes() || random.nextInt(3) == 0) {
+            if (!entry.ledger.needsNotes() || random.nextInt(3) == 0) {
                 return;
             }
-            Map<String, Long> tokens = entry.book.wantedNotes();
-            for (String witness : entry.book.witnesses().usable()) {
+            Map<String, Long> tokens = entry.ledger.wantedNotes();
+            for (String witness : entry.ledger.witnesses().usable()) {
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
                     long due = nowMillis + (random.nextInt(5) == 0 ? random.nextInt(8_000) : 0);
                     usageReports.add(new SentUsageReport(due, witness, entry, tokens));
@@ -331,7 +332,7 @@
                         && !linkDown(report.from, report.witness)
                         && witness.get().witnessRecords.note(report.from.incarnation, report.tokens);
                 if (recorded && random.nextInt(5) > 0) {
-                    report.from.book.noted(report.witness, report.tokens);
+                    report.from.ledger.noted(report.witness, report.tokens);
                 }
             }
         }
@@ -365,13 +366,14 @@
                 reclaimUnused(
                         entry,
                         predecessorRow.get(),
-                        PrepaidBook.reclaimNoted(ACCOUNT, row, predecessorRow.get(), noted));
+                        PrepaidLedger.reclaimNoted(ACCOUNT, row, predecessorRow.get(), noted));
             }
         }
 
         /** Reclaims tokens without the answers of the witnesses, also while witnesses could still answer. */
         private void reclaimWithoutWitnesses(Entry entry, MarkRow predecessorRow) {
-            Optional<PrepaidRow> changed = entry.book.reclaimReleased(ACCOUNT, row, predecessorRow, entry.startMillis);
+            Optional<PrepaidRow> changed =
+                    entry.ledger.reclaimReleased(ACCOUNT, row, predecessorRow, entry.startMillis);
             if (changed.isPresent()) {
                 reclaimUnused(entry, predecessorRow, changed);
             }
--- a/core/src/test/java/org/streamring/kernel/prepaid/RenewalPaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/RenewalIntervalTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class RenewalPaceTest {
+public class RenewalIntervalTest {
     private static final int HOLDERS = 24;
     /** Transactions per second that one partition of the store executes. */
     private static final double TRANSACTIONS_PER_SECOND = 200;
@@ -18,14 +18,14 @@
     /** After its silence timeout, an entry can use tokens only as fast as witnesses record them. */
     @Test(dataProvider = "sizes")
     public void aHolderRenewsThreeTimesWithinTheSilenceTimeout(int entries) {
-        long interval = RenewalPace.millis(true, Math.min(HOLDERS, entries), entries);
+        long interval = RenewalInterval.millis(true, Math.min(HOLDERS, entries), entries);
         assertThat(3 * interval).isLessThan(PrepaidSettings.DEFAULT.patience().toMillis());
     }
 
     @Test(dataProvider = "sizes")
     public void allEntriesTogetherUseLessThanHalfOfAPartition(int entries) {
-        double holders = HOLDERS * 1_000.0 / RenewalPace.millis(true, HOLDERS, entries);
-        double others = (entries - HOLDERS) * 1_000.0 / RenewalPace.millis(false, HOLDERS, entries);
+        double holders = HOLDERS * 1_000.0 / RenewalInterval.millis(true, HOLDERS, entries);
+        double others = (entries - HOLDERS) * 1_000.0 / RenewalInterval.millis(false, HOLDERS, entries);
         assertThat(holders + others).isLessThan(TRANSACTIONS_PER_SECOND / 2);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/WitnessNotesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/WitnessRecordsTest.java
@@ -6,12 +6,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class WitnessNotesTest {
-    private WitnessNotes records;
+public class WitnessRecordsTest {
+    private WitnessRecords records;
 
     @BeforeMethod
     public void setUp() {
-        records = new WitnessNotes();
+        records = new WitnessRecords();
     }
 
     @Test
--- a/core/src/test/java/org/streamring/kernel/receipt/ReceiptBookTest.java
+++ b/core/src/test/java/org/streamring/kernel/receipt/ReceiptStoreTest.java
@@ -13,15 +13,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class ReceiptBookTest {
+public class ReceiptStoreTest {
     private static final ReceiptBookSettings SETTINGS =
             new ReceiptBookSettings(20, Duration.ofMinutes(10), 1000, Duration.ofHours(24), 50);
 
-    private ReceiptBook receipts;
+    private ReceiptStore receipts;
 
     @BeforeMethod
     public void setUp() {
-        receipts = new ReceiptBook(SETTINGS);
+        receipts = new ReceiptStore(SETTINGS);
     }
 
     private static AttemptOrder order(String attempt, String request, boolean repeatable, int rank) {
--- a/core/src/test/java/org/streamring/kernel/recovery/EntryWatchTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/EntryFailureDetectorTest.java
@@ -7,8 +7,8 @@
 import org.streamring.kernel.table.Row;
 import org.testng.annotations.Test;
 
-public class EntryWatchTest {
-    private final EntryWatch watch = new EntryWatch(Duration.ofSeconds(30));
+public class EntryFailureDetectorTest {
+    private final EntryFailureDetector detector = new EntryFailureDetector(Duration.ofSeconds(30));
 
     private static Row row(String incarnation, long version) {
         return new Row("entry/" + incarnation, version, 1, "");
@@ -18,16 +18,16 @@
     public void anEntryWhoseRowDoesNotChangeIsSuspected() {
         Row unchanged = row("a~1", 5);
         for (int second = 0; second < 30; second += 5) {
-            assertThat(watch.observe(List.of(unchanged, row("b~1", second)), -1, second * 1000L))
+            assertThat(detector.observe(List.of(unchanged, row("b~1", second)), -1, second * 1000L))
                     .isEmpty();
         }
-        assertThat(watch.observe(List.of(unchanged, row("b~1", 99)), -1, 30_000))
+        assertThat(detector.observe(List.of(unchanged, row("b~1", 99)), -1, 30_000))
                 .containsExactly(unchanged);
     }
 
     @Test
     public void theTimeWithoutAChangeStartsAnewAfterATableOutage() {
-        EntryWatch afterOutage = new EntryWatch(Duration.ofSeconds(30));
+        EntryFailureDetector afterOutage = new EntryFailureDetector(Duration.ofSeconds(30));
         Row unchanged = row("a~1", 5);
         afterOutage.observe(List.of(unchanged), -1, 1_000);
         assertThat(afterOutage.observe(List.of(unchanged), 599_000, 600_000)).isEmpty();
--- a/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
@@ -14,8 +14,8 @@
 import org.streamring.kernel.ledger.Reservation;
 import org.streamring.kernel.receipt.AdmitDecision;
 import org.streamring.kernel.receipt.AttemptOrder;
-import org.streamring.kernel.receipt.ReceiptBook;
 import org.streamring.kernel.receipt.ReceiptBookSettings;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.kernel.receipt.Usage;
 import org.streamring.kernel.table.Row;
 import org.streamring.kernel.table.RowKeys;
@@ -33,7 +33,7 @@
 
     private Bank bank;
     private LedgerDriver holder;
-    private Map<String, ReceiptBook> sidecars;
+    private Map<String, ReceiptStore> sidecars;
 
     @BeforeMethod
     public void setUp() {
@@ -41,7 +41,7 @@
         holder = new LedgerDriver(HOLDER, bank, LedgerSettings.patient());
         sidecars = new HashMap<>();
         for (String sidecar : List.of("s1~a", "s2~a")) {
-            sidecars.put(sidecar, new ReceiptBook(ReceiptBookSettings.defaults()));
+            sidecars.put(sidecar, new ReceiptStore(ReceiptBookSettings.defaults()));
             holder.ledger.announcePeer(sidecar);
         }
         holder.step(0);
@@ -70,8 +70,8 @@
         return bank.row(RowKeys.peers(HOLDER)).orElseThrow();
     }
 
-    private LeaseCloser.Findings findings(List<PeerReceipts> answers) {
-        return new LeaseCloser.Findings(LeaseCloser.peersOf(peersRow()), answers, List.of());
+    private LeaseCloser.CollectedReceipts collected(List<PeerReceipts> answers) {
+        return new LeaseCloser.CollectedReceipts(LeaseCloser.peersOf(peersRow()), answers, List.of());
     }
 
     private List<PeerReceipts> fence(String... reachable) {
@@ -86,7 +86,7 @@
         List<BillItem> bills = new ArrayList<>();
         bank.table.transact(closer.markClosing(entryRow()));
         for (Row lease : bank.rows(RowKeys.leasesOf(HOLDER))) {
-            LeaseCloser.Settlement settlement = closer.settle(entryRow(), List.of(lease), findings(answers), 0);
+            LeaseCloser.Settlement settlement = closer.settle(entryRow(), List.of(lease), collected(answers), 0);
             if (bank.table.transact(settlement.transaction()) instanceof Committed) {
                 bills.addAll(settlement.items());
             }
@@ -175,7 +175,7 @@
                 .settle(
                         entryRow(),
                         List.of(lease),
-                        new LeaseCloser.Findings(LeaseCloser.peersOf(peersRow()), List.of(), List.of(written)),
+                        new LeaseCloser.CollectedReceipts(LeaseCloser.peersOf(peersRow()), List.of(), List.of(written)),
                         0);
         bank.table.transact(settlement.transaction());
         assertThat(bank.settled(BUDGET)).isEqualTo(55);
@@ -220,7 +220,7 @@
         bank.table.transact(first.markClosing(entryRow()));
         Row rowReadByFirst = entryRow();
         Row lease = bank.rows(RowKeys.leasesOf(HOLDER)).get(0);
-        LeaseCloser.Settlement firstSettlement = first.settle(rowReadByFirst, List.of(lease), findings(answers), 0);
+        LeaseCloser.Settlement firstSettlement = first.settle(rowReadByFirst, List.of(lease), collected(answers), 0);
         if (takeoverAfter == 0) {
             bank.table.transact(second.markClosing(entryRow()));
         }
@@ -257,7 +257,7 @@
         LeaseCloser closer = new LeaseCloser("entry-2~b");
         bank.table.transact(closer.markClosing(entryRow()));
         List<Row> leases = bank.rows(RowKeys.leasesOf(HOLDER));
-        LeaseCloser.Settlement settlement = closer.settle(entryRow(), leases, findings(answers.subList(0, 1)), 0);
+        LeaseCloser.Settlement settlement = closer.settle(entryRow(), leases, collected(answers.subList(0, 1)), 0);
         assertThat(bank.table.transact(settlement.transaction())).isInstanceOf(Committed.class);
         assertThat(bank.rows(RowKeys.leasesOf(HOLDER))).isEmpty();
         assertThat(bank.rows(RowKeys.HELD)).hasSize(LeaseCloser.MAX_LEASES);
--- a/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
@@ -19,8 +19,8 @@
 import org.streamring.kernel.ledger.ReserveResult;
 import org.streamring.kernel.receipt.AdmitDecision;
 import org.streamring.kernel.receipt.Receipt;
-import org.streamring.kernel.receipt.ReceiptBook;
 import org.streamring.kernel.receipt.ReceiptBookSettings;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.kernel.receipt.Usage;
 import org.streamring.kernel.table.FaultyTable.Fault;
 import org.streamring.kernel.table.Row;
@@ -47,7 +47,7 @@
     private int nameCount;
     private List<LedgerDriver> live;
     private List<LedgerDriver> dead;
-    private Map<String, ReceiptBook> sidecars;
+    private Map<String, ReceiptStore> sidecars;
     private Set<String> disconnected;
     private List<FaultedAttempt> attempts;
     private Map<String, Long> usedTokens;
@@ -143,7 +143,7 @@
 
     private void startSidecar() {
         String name = "sidecar~" + ++nameCount;
-        sidecars.put(name, new ReceiptBook(ReceiptBookSettings.defaults()));
+        sidecars.put(name, new ReceiptStore(ReceiptBookSettings.defaults()));
         live.forEach(entry -> entry.ledger.announcePeer(name));
     }
 
@@ -271,7 +271,7 @@
         List<String> peers = LeaseCloser.peersOf(peersRow);
         List<PeerReceipts> answers = new ArrayList<>();
         for (String peer : peers) {
-            ReceiptBook receiptStore = sidecars.get(peer);
+            ReceiptStore receiptStore = sidecars.get(peer);
             if (receiptStore != null && !disconnected.contains(peer)) {
                 PeerReceipts answer = new PeerReceipts(peer, receiptStore.fence(incarnation));
                 if (answer.stillRunning()) {
@@ -280,14 +280,14 @@
                 answers.add(answer);
             }
         }
-        LeaseCloser.Findings findings =
-                new LeaseCloser.Findings(peers, answers, unsettledItems(incarnation, row.amount()));
+        LeaseCloser.CollectedReceipts collected =
+                new LeaseCloser.CollectedReceipts(peers, answers, unsettledItems(incarnation, row.amount()));
         List<Row> leases = bank.rows(RowKeys.leasesOf(incarnation));
         int perTransaction = 1 + random.nextInt(3);
         for (int from = 0; from < leases.size(); from += perTransaction) {
             List<Row> batch = leases.subList(from, Math.min(leases.size(), from + perTransaction));
             Row entryRow = bank.row(row.key()).orElseThrow();
-            LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, findings, now);
+            LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, collected, now);
             settlement.items().forEach(bill::add);
             TransactionResult result = bank.table.transact(settlement.transaction());
             assertThat(result).as("there is no concurrent closer").isInstanceOf(Committed.class);
@@ -327,7 +327,7 @@
     }
 
     private void resolve(Row row, HeldRecord record, String peer) {
-        ReceiptBook receiptStore = sidecars.get(peer);
+        ReceiptStore receiptStore = sidecars.get(peer);
         String entry = record.leaseId().substring(0, record.leaseId().indexOf('/'));
         List<Receipt> receipts =
                 record.attempts().isEmpty() ? receiptStore.fence(entry) : receiptStore.receiptsFor(record.attempts());
--- a/direct/src/main/java/org/streamring/direct/DirectEntry.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntry.java
@@ -19,32 +19,32 @@
 import org.streamring.direct.feed.MemberRegister;
 import org.streamring.direct.feed.TableWatch;
 import org.streamring.direct.feed.WatchLog;
-import org.streamring.direct.ledger.TokenDesk;
+import org.streamring.direct.ledger.TokenAllocator;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
-import org.streamring.direct.metrics.LinkWatch;
-import org.streamring.direct.metrics.LoopWatch;
+import org.streamring.direct.metrics.EventLoopDelayMonitor;
+import org.streamring.direct.metrics.LinkBacklogMonitor;
 import org.streamring.direct.peer.EntryPeers;
 import org.streamring.direct.peer.PermitExchange;
 import org.streamring.direct.peer.PlacementExchange;
 import org.streamring.direct.peer.TokenLending;
-import org.streamring.direct.peer.UseWitnesses;
-import org.streamring.direct.request.Fleet;
+import org.streamring.direct.peer.UsageWitnesses;
+import org.streamring.direct.request.AvailabilityLog;
+import org.streamring.direct.request.BackendFleet;
+import org.streamring.direct.request.CrashSuspectGuard;
 import org.streamring.direct.request.LimitLog;
-import org.streamring.direct.request.NoticeLog;
 import org.streamring.direct.request.RequestDigests;
 import org.streamring.direct.request.RequestRouter;
 import org.streamring.direct.request.RequestServices;
-import org.streamring.direct.request.SuspectGuard;
 import org.streamring.direct.suspect.SuspectExchange;
 import org.streamring.direct.suspect.SuspectLog;
-import org.streamring.kernel.admission.LinkPace;
+import org.streamring.kernel.admission.LinkBacklog;
 import org.streamring.kernel.availability.BackendAvailability;
-import org.streamring.kernel.permit.PermitDesk;
+import org.streamring.kernel.permit.PermitCoordinator;
 import org.streamring.kernel.placement.ColdReplicas;
 import org.streamring.kernel.placement.ReportPace;
-import org.streamring.kernel.prepaid.AccountHomes;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.HomeEntries;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidSettings;
 import org.streamring.kernel.registry.BackendRegistry;
 import org.streamring.kernel.route.RouteTable;
@@ -98,13 +98,13 @@
     private final ConfigurationFeed configuration;
     private final BackendFeed backends;
     private final MemberRegister members;
-    private final TokenDesk tokens;
+    private final TokenAllocator tokens;
     private final EntryPeers peers;
     private final TokenLending lending;
-    private final UseWitnesses witnesses;
+    private final UsageWitnesses witnesses;
     private final PermitExchange permits;
-    private final AccountHomes homeEntries;
-    private final Fleet fleet;
+    private final HomeEntries homeEntries;
+    private final BackendFleet fleet;
     private final PlacementExchange placementExchange;
     private final TableWatch configurationWatch;
     private final TableWatch backendWatch;
@@ -112,9 +112,9 @@
     private final SuspectTable suspects;
     private final SuspectExchange suspectExchange;
     private final RequestRouter router;
-    private final LinkPace link;
+    private final LinkBacklog link;
     private final CallerServer callers;
-    private final LoopWatch loopWatch;
+    private final EventLoopDelayMonitor eventLoopDelayMonitor;
     private boolean stopping;
     private boolean rejectingAll;
     private long stopStartedMillis;
@@ -134,31 +134,31 @@
         this.clock = clock;
         String incarnation = Incarnation.create(settings.nodeName());
         this.availability =
-                new BackendAvailability(() -> this.settings.drainTime().toMillis(), new NoticeLog(log));
+                new BackendAvailability(() -> this.settings.drainTime().toMillis(), new AvailabilityLog(log));
         this.registry = new BackendRegistry(settings.keepLapsed().toMillis(), availability);
         this.configuration = new ConfigurationFeed(platform.operatorRows(), log, () -> {});
         ColdReplicas cold = new ColdReplicas(settings.nodeName(), this::possiblyLiveEntries);
         EntryMetrics metrics = new EntryMetrics();
         Random random = new Random();
         PeerIdentity own = new PeerIdentity(PeerIdentity.Role.ENTRY, settings.nodeName(), incarnation);
-        this.homeEntries = new AccountHomes(settings.nodeName());
+        this.homeEntries = new HomeEntries(settings.nodeName());
         this.peers = new EntryPeers(loops, loop, platform.store(), settings.peers(), own, homeEntries, metrics, log);
-        this.witnesses = new UseWitnesses(peers, settings.nodeName());
+        this.witnesses = new UsageWitnesses(peers, settings.nodeName());
         this.lending = new TokenLending(loop, peers, homeEntries, random, metrics, log);
         this.members = new MemberRegister(
-                loop, platform.store(), settings.nodeName(), incarnation, settings.peers(), clock, others -> {
-                    homeEntries.others(others.live().stream()
+                loop, platform.store(), settings.nodeName(), incarnation, settings.peers(), clock, otherEntries -> {
+                    homeEntries.others(otherEntries.live().stream()
                             .map(MemberRegister.Member::name)
                             .toList());
-                    peers.members(others);
+                    peers.members(otherEntries);
                 });
         this.tokens = createTokenAllocator(
-                new PrepaidBook(incarnation, PrepaidSettings.DEFAULT), homeEntries, random, metrics);
+                new PrepaidLedger(incarnation, PrepaidSettings.DEFAULT), homeEntries, random, metrics);
         this.permits = new PermitExchange(
                 loop, peers, settings.nodeName(), this::permitOwners, clock, metrics, log, new LimitLog(log, metrics));
-        this.fleet = createFleet(permits.desk(), cold, random);
+        this.fleet = createFleet(permits.coordinator(), cold, random);
         this.backends = new BackendFeed(platform.operatorRows(), registry, cold, fleet.placement(), clock, log);
-        this.link = new LinkPace(() -> this.settings.linkBytesPerSecond());
+        this.link = new LinkBacklog(() -> this.settings.linkBytesPerSecond());
         ReportPace reportPace = new ReportPace(() -> this.settings.linkBytesPerSecond());
         this.placementExchange = new PlacementExchange(
                 loop, peers, fleet.placement(), members::live, this::memoryTokensOf, link, reportPace, clock);
@@ -181,13 +181,14 @@
         this.callers = new CallerServer(loops, settings.callers(), router, this::limits, clock, () -> stopping);
         new ReadinessServer(loops, settings.readiness(), platform.readinessPath(), this::ready);
         registerGauges(metrics);
-        this.loopWatch = new LoopWatch(loop, clock, new LinkWatch(link, clock, log), metrics, log);
+        this.eventLoopDelayMonitor =
+                new EventLoopDelayMonitor(loop, clock, new LinkBacklogMonitor(link, clock, log), metrics, log);
         new AdminServer(loops, settings.metrics(), metrics.registry(), this::ready);
         log.line("started", "incarnation", incarnation, "domain", settings.failureDomain());
     }
 
-    private Fleet createFleet(PermitDesk permitCoordinator, ColdReplicas cold, Random random) {
-        return new Fleet(
+    private BackendFleet createFleet(PermitCoordinator permitCoordinator, ColdReplicas cold, Random random) {
+        return new BackendFleet(
                 loop,
                 registry,
                 availability,
@@ -223,16 +224,16 @@
                 configuration::inForce,
                 fleet,
                 tokens,
-                new SuspectGuard(digests, suspects, suspectExchange, registry, clock, log),
+                new CrashSuspectGuard(digests, suspects, suspectExchange, registry, clock, log),
                 this::accepts,
                 link,
                 metrics,
                 log);
     }
 
-    private TokenDesk createTokenAllocator(
-            PrepaidBook ledger, AccountHomes homeEntries, Random random, EntryMetrics metrics) {
-        return new TokenDesk(
+    private TokenAllocator createTokenAllocator(
+            PrepaidLedger ledger, HomeEntries homeEntries, Random random, EntryMetrics metrics) {
+        return new TokenAllocator(
                 loop,
                 platform.store(),
                 ledger,
@@ -277,7 +278,7 @@
             return Set.of();
         }
         Set<String> owners = new HashSet<>(homeEntries.holders());
-        if (members.live() <= AccountHomes.ALL_CONNECTED) {
+        if (members.live() <= HomeEntries.ALL_CONNECTED) {
             owners.addAll(peers.connectedEntries());
         }
         return owners;
@@ -299,7 +300,7 @@
         metrics.gauge("entries.connected", peers::connected);
         metrics.gauge("backends.leaving", availability::leavingCount);
         metrics.gauge("backends.resting", () -> availability.restingCount(clock.getAsLong()));
-        metrics.gauge("backends.limited", permits.desk().limits()::count);
+        metrics.gauge("backends.limited", permits.coordinator().limits()::count);
         metrics.gauge("suspects", suspects::suspects);
         metrics.gauge("suspects.blocked", suspects::blocked);
         metrics.gauge("log.lines.dropped", log::dropped);
@@ -318,7 +319,7 @@
         peers.start();
         placementExchange.start();
         tokens.start();
-        loopWatch.start();
+        eventLoopDelayMonitor.start();
         loop.scheduleAtFixedRate(
                 this::cleanUp, CLEANUP_INTERVAL_MILLIS, CLEANUP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(
--- a/direct/src/main/java/org/streamring/direct/ReadinessServer.java
+++ b/direct/src/main/java/org/streamring/direct/ReadinessServer.java
@@ -16,7 +16,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.BooleanSupplier;
 import org.streamring.net.peer.PeerException;
-import org.streamring.net.process.Listening;
+import org.streamring.net.process.ListeningSocket;
 
 /** HTTP server for the readiness check of the load balancer: whether the process accepts new connections. */
 final class ReadinessServer {
@@ -29,7 +29,7 @@
             throws PeerException {
         this.path = path;
         this.ready = ready;
-        new Listening(loops, address, accepted -> accepted.pipeline()
+        new ListeningSocket(loops, address, accepted -> accepted.pipeline()
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler()));
     }
 
--- a/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.streamring.model.route.CallerLimits;
 import org.streamring.net.peer.PeerException;
-import org.streamring.net.process.Listening;
+import org.streamring.net.process.ListeningSocket;
 
 /** Server socket for callers. Confined to the event loop, except for the constructor. */
 public final class CallerServer {
@@ -24,7 +24,7 @@
 
     private final Set<CallerConnection> connections = new HashSet<>();
     private final Supplier<CallerLimits> limits;
-    private final Listening listening;
+    private final ListeningSocket listeningSocket;
 
     /** Opens the server socket. */
     public CallerServer(
@@ -36,13 +36,13 @@
             BooleanSupplier stopping)
             throws PeerException {
         this.limits = limits;
-        this.listening = new Listening(
+        this.listeningSocket = new ListeningSocket(
                 loops, address, accepted -> prepare(accepted, new CallerConnection(sink, clock, stopping)));
     }
 
     /** Returns the port on which the server listens. */
     public int port() {
-        return listening.port();
+        return listeningSocket.port();
     }
 
     /** Closes connections that were idle for longer than the idle timeout. */
--- a/direct/src/main/java/org/streamring/direct/feed/MemberRegister.java
+++ b/direct/src/main/java/org/streamring/direct/feed/MemberRegister.java
@@ -42,7 +42,7 @@
     private final RowKey ownKey;
     private final String incarnation;
     private final String ownAddress;
-    private final Consumer<Others> onChange;
+    private final Consumer<OtherEntries> onChange;
     private final LongSupplier clock;
     private final Map<String, ObservedRow> observed = new HashMap<>();
     private long ownVersion;
@@ -74,9 +74,9 @@
      * @param live entries that are live
      * @param absent entries that stopped or became unresponsive
      */
-    public record Others(List<Member> live, List<Member> absent) {
+    public record OtherEntries(List<Member> live, List<Member> absent) {
         /** Copies the lists. */
-        public Others {
+        public OtherEntries {
             live = List.copyOf(live);
             absent = List.copyOf(absent);
         }
@@ -95,7 +95,7 @@
             String incarnation,
             InetSocketAddress peers,
             LongSupplier clock,
-            Consumer<Others> onChange) {
+            Consumer<OtherEntries> onChange) {
         this.loop = loop;
         this.store = store;
         this.ownKey = new RowKey(TABLE, "", nodeName);
@@ -167,10 +167,11 @@
             }
         }
         long oldest = now - intervalMillis() * MAX_MISSED_HEARTBEATS;
-        Others others = new Others(members(each -> each.live(oldest)), members(each -> !each.live(oldest)));
-        live = 1 + others.live().size();
+        OtherEntries otherEntries =
+                new OtherEntries(members(each -> each.live(oldest)), members(each -> !each.live(oldest)));
+        live = 1 + otherEntries.live().size();
         possiblyLive = namesOfPossiblyLive();
-        onChange.accept(others);
+        onChange.accept(otherEntries);
     }
 
     private List<Member> members(Predicate<ObservedRow> which) {
--- a/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
@@ -17,14 +17,14 @@
 import org.jspecify.annotations.Nullable;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.kernel.limit.ConflictBackoff;
-import org.streamring.kernel.prepaid.AccountHomes;
-import org.streamring.kernel.prepaid.DurableRise;
-import org.streamring.kernel.prepaid.DurableRise.RiseStart;
+import org.streamring.kernel.prepaid.DurableCapRise;
+import org.streamring.kernel.prepaid.DurableCapRise.RiseStart;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.prepaid.Mark;
 import org.streamring.kernel.prepaid.MarkRow;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidRow;
-import org.streamring.kernel.prepaid.RenewalPace;
+import org.streamring.kernel.prepaid.RenewalInterval;
 import org.streamring.kernel.route.RouteTable;
 import org.streamring.kernel.store.CommitResult;
 import org.streamring.kernel.store.RowChange;
@@ -46,10 +46,10 @@
 
     private final EventLoop loop;
     private final RowStore store;
-    private final PrepaidBook ledger;
+    private final PrepaidLedger ledger;
     private final LeaseRows rows;
     private final Supplier<Optional<RouteTable>> routes;
-    private final AccountHomes homes;
+    private final HomeEntries homeEntries;
     private final IntSupplier entries;
     private final LongSupplier clock;
     private final Witnesses witnesses;
@@ -72,7 +72,7 @@
     private ReclaimedLeases reclaimed = ReclaimedLeases.NOTHING;
 
     private long writeSentMillis;
-    private final DurableRise rise = new DurableRise();
+    private final DurableCapRise rise = new DurableCapRise();
     private long anchorStoreMillis;
     private long anchorLocalMillis;
 
@@ -94,10 +94,10 @@
     LeaseRenewer(
             EventLoop loop,
             RowStore store,
-            PrepaidBook ledger,
+            PrepaidLedger ledger,
             LeaseRows rows,
             Supplier<Optional<RouteTable>> routes,
-            AccountHomes homes,
+            HomeEntries homeEntries,
             IntSupplier entries,
             Witnesses witnesses,
             LongSupplier clock,
@@ -110,7 +110,7 @@
         this.ledger = ledger;
         this.rows = rows;
         this.routes = routes;
-        this.homes = homes;
+        this.homeEntries = homeEntries;
         this.entries = entries;
         this.witnesses = witnesses;
         this.predecessor = new PredecessorLeases(ledger, witnesses, clock, processAge, log);
@@ -178,7 +178,7 @@
             loop.schedule(() -> closeWhenIdle(closed), CLOSE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        List<PrepaidBook.Proposal> proposals = ledger.accounts().stream()
+        List<PrepaidLedger.Proposal> proposals = ledger.accounts().stream()
                 .filter(account ->
                         rows.account(account).holding(ledger.incarnation()).isPresent())
                 .map(account -> ledger.planClose(account, rows.account(account)))
@@ -213,7 +213,8 @@
     }
 
     private void renewLater() {
-        schedule(RenewalPace.millis(homes.isHolder(), homes.holders().size(), entries.getAsInt()));
+        schedule(RenewalInterval.millis(
+                homeEntries.isHolder(), homeEntries.holders().size(), entries.getAsInt()));
     }
 
     private void schedule(long delayMillis) {
@@ -243,7 +244,7 @@
         }
         predecessor.askWitnesses();
         ledger.sample(clock.getAsLong());
-        List<PrepaidBook.Proposal> proposals = plan();
+        List<PrepaidLedger.Proposal> proposals = plan();
         if (proposals.isEmpty()) {
             renewLater();
             return;
@@ -251,48 +252,48 @@
         write(proposals);
     }
 
-    private List<PrepaidBook.Proposal> plan() {
+    private List<PrepaidLedger.Proposal> plan() {
         reclaimed = ReclaimedLeases.NOTHING;
-        List<PrepaidBook.Proposal> proposals = new ArrayList<>();
+        List<PrepaidLedger.Proposal> proposals = new ArrayList<>();
         Optional<RouteTable> table = routes.get();
         if (table.isEmpty()) {
             return proposals;
         }
         int maxAccountsOfOthers =
-                homes.allAreHomes() ? Integer.MAX_VALUE : settlementSchedule.maxAccounts(clock.getAsLong());
+                homeEntries.allAreHomes() ? Integer.MAX_VALUE : settlementSchedule.maxAccounts(clock.getAsLong());
         for (PrepaidAccount account : table.get().configuration().accounts()) {
             if (account.prepaid().isPresent() && proposals.size() < MAX_ACCOUNTS_PER_WRITE) {
                 PrepaidRow row = rows.account(account.name())
                         .withLimit(account.prepaid().getAsLong(), table.get().version());
-                boolean settles = homes.isHome(account.name()) || reclaimed.accounts() < maxAccountsOfOthers;
+                boolean settles = homeEntries.isHome(account.name()) || reclaimed.accounts() < maxAccountsOfOthers;
                 proposals.add(plan(account.name(), row, settles));
             }
         }
         return proposals;
     }
 
-    private PrepaidBook.Proposal plan(String account, PrepaidRow row, boolean settles) {
+    private PrepaidLedger.Proposal plan(String account, PrepaidRow row, boolean settles) {
         PrepaidRow rowToWrite = settles ? predecessor.removeFrom(account, row) : row;
         if (!rowToWrite.equals(row)) {
             reclaimed = reclaimed.plus(row, rowToWrite);
         }
-        PrepaidBook.Proposal proposal = homes.isHome(account)
-                ? ledger.plan(account, rowToWrite, homes.of(account).size(), homes.shape())
+        PrepaidLedger.Proposal proposal = homeEntries.isHome(account)
+                ? ledger.plan(account, rowToWrite, homeEntries.of(account).size(), homeEntries.shape())
                 : ledger.planBorrower(account, rowToWrite);
         return rowToWrite.equals(row) ? proposal : proposal.orElseWrite(rowToWrite);
     }
 
-    private CompletableFuture<Boolean> write(List<PrepaidBook.Proposal> proposals) {
+    private CompletableFuture<Boolean> write(List<PrepaidLedger.Proposal> proposals) {
         Map<String, PrepaidRow> changed = new HashMap<>();
         Map<String, Mark> usageCaps = new HashMap<>();
-        for (PrepaidBook.Proposal proposal : proposals) {
+        for (PrepaidLedger.Proposal proposal : proposals) {
             proposal.row().ifPresent(row -> changed.put(proposal.account(), row));
             usageCaps.put(proposal.account(), proposal.mark());
         }
         Set<String> witnessIds = witnesses.choose(ledger.witnesses().usable());
         proposals.forEach(ledger::proposed);
         ledger.witnesses().proposed(witnessIds);
-        long releaseMillis = homes.shape().release().toMillis();
+        long releaseMillis = homeEntries.shape().release().toMillis();
         ledger.release().proposed(releaseMillis);
         long sentMillis = clock.getAsLong();
         RiseStart start = rise.proposed(new RiseStart(sentMillis, anchorStoreMillis + sentMillis - anchorLocalMillis));
@@ -321,7 +322,7 @@
         });
     }
 
-    private void notConfirmed(List<PrepaidBook.Proposal> proposals, boolean nothingDone) {
+    private void notConfirmed(List<PrepaidLedger.Proposal> proposals, boolean nothingDone) {
         if (nothingDone) {
             proposals.forEach(ledger::refused);
             ledger.witnesses().refused();
@@ -343,7 +344,7 @@
             backoff.committed();
             renewLater();
         } else {
-            schedule(backoff.conflicted(homes.holders().size()));
+            schedule(backoff.conflicted(homeEntries.holders().size()));
         }
     }
 
--- a/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.kernel.prepaid.MarkRow;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidRow;
 
 /**
@@ -21,7 +21,7 @@
     /** A live witness is connected about a second after the start of this process, and answers at once. */
     private static final long WITNESS_REPORT_TIMEOUT_MILLIS = 3_000;
 
-    private final PrepaidBook ledger;
+    private final PrepaidLedger ledger;
     private final Witnesses witnesses;
     private final LongSupplier clock;
     private final LongSupplier processAge;
@@ -41,7 +41,7 @@
      *     predecessor, because the first call takes about 50 ms of CPU time
      */
     PredecessorLeases(
-            PrepaidBook ledger, Witnesses witnesses, LongSupplier clock, LongSupplier processAge, DecisionLog log) {
+            PrepaidLedger ledger, Witnesses witnesses, LongSupplier clock, LongSupplier processAge, DecisionLog log) {
         this.ledger = ledger;
         this.witnesses = witnesses;
         this.clock = clock;
@@ -104,7 +104,7 @@
             return ledger.reclaim(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
         }
         if (!usageCaps.witnesses().isEmpty() && reports.keySet().containsAll(usageCaps.witnesses())) {
-            return PrepaidBook.reclaimNoted(account, row, usageCaps, highestRecorded(usageCaps));
+            return PrepaidLedger.reclaimNoted(account, row, usageCaps, highestRecorded(usageCaps));
         }
         if (noMoreReportsExpected(usageCaps)) {
             return ledger.reclaimReleased(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
--- a/direct/src/main/java/org/streamring/direct/ledger/TokenDesk.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/TokenAllocator.java
@@ -15,8 +15,8 @@
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
 import org.streamring.direct.request.TokenSource;
-import org.streamring.kernel.prepaid.AccountHomes;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.HomeEntries;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidRow;
 import org.streamring.kernel.route.RouteTable;
 import org.streamring.kernel.store.RowStore;
@@ -25,7 +25,7 @@
  * Allocates prepaid tokens to requests from this entry's leases, from a larger lease if the store answers in time, or
  * from loans of other entries. Confined to the event loop.
  */
-public final class TokenDesk implements TokenSource, LeaseRenewer.Listener {
+public final class TokenAllocator implements TokenSource, LeaseRenewer.Listener {
     private static final long MAX_WAIT_MILLIS = 130;
     /** The first lease of a process takes longer, and the process has no other tokens until then. */
     private static final long FIRST_LEASE_WAIT_MILLIS = 200;
@@ -52,13 +52,13 @@
     private static final long ASK_AGAIN_DELAY_MILLIS = 20;
 
     private final EventLoop loop;
-    private final PrepaidBook ledger;
+    private final PrepaidLedger ledger;
     private final LeaseRows rows;
     private final LeaseRenewer renewer;
     private final UsageRecorder usageRecorder;
     private final TokenLender tokenLender;
     private final Supplier<Optional<RouteTable>> routes;
-    private final AccountHomes homes;
+    private final HomeEntries homeEntries;
     private final Lenders lenders;
     private final LongSupplier clock;
     private final EntryMetrics metrics;
@@ -72,13 +72,13 @@
      * @param clock milliseconds since this process started, on a monotonic clock
      * @param processAge milliseconds since the JVM of this process began to start
      */
-    public TokenDesk(
+    public TokenAllocator(
             EventLoop loop,
             RowStore store,
-            PrepaidBook ledger,
+            PrepaidLedger ledger,
             String box,
             Supplier<Optional<RouteTable>> routes,
-            AccountHomes homes,
+            HomeEntries homeEntries,
             IntSupplier entries,
             Lenders lenders,
             Witnesses witnesses,
@@ -91,22 +91,34 @@
         this.ledger = ledger;
         this.rows = new LeaseRows(log, box);
         this.routes = routes;
-        this.homes = homes;
+        this.homeEntries = homeEntries;
         this.lenders = lenders;
         this.clock = clock;
         this.metrics = metrics;
         this.log = log;
         this.renewer = new LeaseRenewer(
-                loop, store, ledger, rows, routes, homes, entries, witnesses, clock, processAge, random, log, this);
+                loop,
+                store,
+                ledger,
+                rows,
+                routes,
+                homeEntries,
+                entries,
+                witnesses,
+                clock,
+                processAge,
+                random,
+                log,
+                this);
         this.usageRecorder = new UsageRecorder(loop, ledger, witnesses, this::serveWaiters);
         this.tokenLender = new TokenLender(
                 loop,
                 ledger,
-                homes,
+                homeEntries,
                 renewer,
                 usageRecorder,
                 lenders,
-                account -> PrepaidBook.kept(row(account).limit(), entries.getAsInt()),
+                account -> PrepaidLedger.kept(row(account).limit(), entries.getAsInt()),
                 this::serveWaiters,
                 log);
     }
@@ -144,7 +156,7 @@
 
     @Override
     public Pending reserve(String account, long tokens, Consumer<Outcome> then) {
-        if (ledger.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
+        if (ledger.reserve(account, tokens) == PrepaidLedger.Outcome.RESERVED) {
             then.accept(Outcome.RESERVED);
             return () -> {};
         }
@@ -152,7 +164,7 @@
         waiters.add(waiter);
         if (ledger.noteWouldHelp(account, tokens)) {
             waiter.waitForWitness();
-        } else if (renewer.storeUnreachable() || !homes.isHome(account)) {
+        } else if (renewer.storeUnreachable() || !homeEntries.isHome(account)) {
             waiter.borrow();
         } else {
             waiter.lease();
@@ -181,7 +193,7 @@
         serveWaiters();
         for (Waiter waiter : List.copyOf(waiters)) {
             PrepaidRow row = row(waiter.account);
-            if (PrepaidBook.exhausted(row, waiter.tokens)) {
+            if (PrepaidLedger.exhausted(row, waiter.tokens)) {
                 waiter.end(Outcome.EXHAUSTED, "rest_too_small");
             } else if (row.unheld() + ledger.available(waiter.account) < waiter.tokens) {
                 waiter.borrow();
@@ -265,7 +277,7 @@
         }
 
         private void tryServe() {
-            if (isWaiting() && ledger.reserve(account, tokens) == PrepaidBook.Outcome.RESERVED) {
+            if (isWaiting() && ledger.reserve(account, tokens) == PrepaidLedger.Outcome.RESERVED) {
                 end(Outcome.RESERVED, "leased");
             }
         }
@@ -304,7 +316,7 @@
             if (!isWaiting()) {
                 return;
             }
-            if (answers.asked() == 0 && !homes.isHome(account) && mayStillConnect()) {
+            if (answers.asked() == 0 && !homeEntries.isHome(account) && mayStillConnect()) {
                 loop.schedule(this::askAgain, ASK_AGAIN_DELAY_MILLIS, TimeUnit.MILLISECONDS);
             } else if (leasing) {
                 giveUp(renewer.storeUnreachable() ? "store_away" : "lease_not_in_time");
--- a/direct/src/main/java/org/streamring/direct/ledger/TokenLender.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/TokenLender.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
 import org.streamring.direct.log.DecisionLog;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.prepaid.LeaseState;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 
 /**
  * Lends tokens of this entry's leases to other entries, accepts returned tokens, and returns borrowed tokens that this
@@ -26,8 +26,8 @@
     private static final long RETURN_INTERVAL_MILLIS = 300;
 
     private final EventLoop loop;
-    private final PrepaidBook ledger;
-    private final AccountHomes homes;
+    private final PrepaidLedger ledger;
+    private final HomeEntries homeEntries;
     private final LeaseRenewer renewer;
     private final UsageRecorder usageRecorder;
     private final Lenders lenders;
@@ -44,8 +44,8 @@
      */
     TokenLender(
             EventLoop loop,
-            PrepaidBook ledger,
-            AccountHomes homes,
+            PrepaidLedger ledger,
+            HomeEntries homeEntries,
             LeaseRenewer renewer,
             UsageRecorder usageRecorder,
             Lenders lenders,
@@ -54,7 +54,7 @@
             DecisionLog log) {
         this.loop = loop;
         this.ledger = ledger;
-        this.homes = homes;
+        this.homeEntries = homeEntries;
         this.renewer = renewer;
         this.usageRecorder = usageRecorder;
         this.lenders = lenders;
@@ -81,7 +81,7 @@
         } else if (ledger.noteWouldHelp(account, asked)) {
             new PendingLoan(account, asked, then).waitFor(WITNESS_ROUND_TRIP_MILLIS);
             usageRecorder.sendNow();
-        } else if (renewer.storeUnreachable() || !homes.isHome(account)) {
+        } else if (renewer.storeUnreachable() || !homeEntries.isHome(account)) {
             then.accept(lendNow(account, asked));
         } else {
             new PendingLoan(account, asked, then).waitFor(MAX_WAIT_MILLIS);
@@ -117,7 +117,7 @@
     /** Returns idle borrowed tokens of accounts whose leases another entry holds. */
     private void returnIdle() {
         for (String account : ledger.accounts()) {
-            if (!homes.isHome(account) && lenders.canReturn(account)) {
+            if (!homeEntries.isHome(account) && lenders.canReturn(account)) {
                 long idle = ledger.giveUpIdle(account, idleAllowance.applyAsLong(account));
                 if (idle > 0) {
                     lenders.giveBack(account, idle);
@@ -128,8 +128,8 @@
     }
 
     private Lenders.Loan lendNow(String account, long asked) {
-        long tokens = homes.allAreHomes() ? ledger.lendWithSpare(account, asked) : ledger.lend(account, asked);
-        if (tokens < asked && homes.isHome(account)) {
+        long tokens = homeEntries.allAreHomes() ? ledger.lendWithSpare(account, asked) : ledger.lend(account, asked);
+        if (tokens < asked && homeEntries.isHome(account)) {
             logShortLoan(account, asked, tokens);
         }
         return new Lenders.Loan(tokens, !renewer.storeUnreachable());
--- a/direct/src/main/java/org/streamring/direct/ledger/UsageRecorder.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/UsageRecorder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 
 /**
  * During a store outage, records tokens at this entry's witnesses before the entry uses them. Confined to the event
@@ -15,11 +15,11 @@
     private static final long SEND_INTERVAL_MILLIS = 200;
 
     private final EventLoop loop;
-    private final PrepaidBook ledger;
+    private final PrepaidLedger ledger;
     private final Witnesses witnesses;
     private final Runnable onRecorded;
 
-    UsageRecorder(EventLoop loop, PrepaidBook ledger, Witnesses witnesses, Runnable onRecorded) {
+    UsageRecorder(EventLoop loop, PrepaidLedger ledger, Witnesses witnesses, Runnable onRecorded) {
         this.loop = loop;
         this.ledger = ledger;
         this.witnesses = witnesses;
--- a/direct/src/main/java/org/streamring/direct/metrics/LoopWatch.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/EventLoopDelayMonitor.java
@@ -4,28 +4,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import org.streamring.direct.log.DecisionLog;
-import org.streamring.kernel.admission.LoopLateness;
+import org.streamring.kernel.admission.EventLoopDelay;
 
 /** Measures the delay of timers on the event loop and logs when the loop falls behind. Confined to the event loop. */
-public final class LoopWatch {
+public final class EventLoopDelayMonitor {
     private static final long INTERVAL_MILLIS = 100;
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final EntryMetrics metrics;
     private final DecisionLog log;
-    private final LinkWatch linkWatch;
-    private final LoopLateness delayDetector = new LoopLateness();
+    private final LinkBacklogMonitor linkBacklogMonitor;
+    private final EventLoopDelay delayDetector = new EventLoopDelay();
 
     /**
      * Creates a monitor of an event loop.
      *
-     * @param linkWatch monitor of the link, run by the same timer
+     * @param linkBacklogMonitor monitor of the link, run by the same timer
      */
-    public LoopWatch(EventLoop loop, LongSupplier clock, LinkWatch linkWatch, EntryMetrics metrics, DecisionLog log) {
+    public EventLoopDelayMonitor(
+            EventLoop loop,
+            LongSupplier clock,
+            LinkBacklogMonitor linkBacklogMonitor,
+            EntryMetrics metrics,
+            DecisionLog log) {
         this.loop = loop;
         this.clock = clock;
-        this.linkWatch = linkWatch;
+        this.linkBacklogMonitor = linkBacklogMonitor;
         this.metrics = metrics;
         this.log = log;
     }
@@ -41,11 +46,11 @@
         long delay = Math.max(0, now - due);
         metrics.loopDelay(delay);
         delayDetector.ran(delay, now).ifPresent(this::log);
-        linkWatch.check();
+        linkBacklogMonitor.check();
         start();
     }
 
-    private void log(LoopLateness.Change change) {
+    private void log(EventLoopDelay.Change change) {
         log.line(
                 change.late() ? "loop_late" : "loop_in_time",
                 "delay_ms",
--- a/direct/src/main/java/org/streamring/direct/metrics/LinkWatch.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/LinkBacklogMonitor.java
@@ -2,17 +2,17 @@
 
 import java.util.function.LongSupplier;
 import org.streamring.direct.log.DecisionLog;
-import org.streamring.kernel.admission.LinkPace;
-import org.streamring.kernel.admission.LinkPace.Traffic;
+import org.streamring.kernel.admission.LinkBacklog;
+import org.streamring.kernel.admission.LinkBacklog.Traffic;
 
 /** Logs when this box's network link becomes full or free and which traffic filled it. Confined to the event loop. */
-public final class LinkWatch {
+public final class LinkBacklogMonitor {
     /** Above this queueing time, requests are held back. */
-    private static final long FULL_MILLIS = LinkPace.MOST_QUEUED_MILLIS;
+    private static final long FULL_MILLIS = LinkBacklog.MOST_QUEUED_MILLIS;
 
     private static final long INTERVAL_MILLIS = 1_000;
 
-    private final LinkPace link;
+    private final LinkBacklog link;
     private final LongSupplier clock;
     private final DecisionLog log;
     private ByteTotals intervalStart = new ByteTotals(0, 0, 0);
@@ -22,7 +22,7 @@
     private record ByteTotals(long requests, long answers, long reports) {}
 
     /** Creates a monitor of the link. */
-    public LinkWatch(LinkPace link, LongSupplier clock, DecisionLog log) {
+    public LinkBacklogMonitor(LinkBacklog link, LongSupplier clock, DecisionLog log) {
         this.link = link;
         this.clock = clock;
         this.log = log;
--- a/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
+++ b/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
@@ -14,7 +14,7 @@
 import org.streamring.direct.feed.MemberRegister;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.store.RowStore;
 import org.streamring.net.generated.Wire.Frame;
 import org.streamring.net.peer.DisconnectReason;
@@ -31,7 +31,7 @@
     private final InetSocketAddress address;
     private final PeerIdentity own;
     private final PeerChoice choice;
-    private final AccountHomes homes;
+    private final HomeEntries homeEntries;
     private final EntryMetrics metrics;
     private final DecisionLog log;
     private final FleetKeyRow keyRow;
@@ -39,14 +39,14 @@
     private final Set<PeerConnection> connections = new HashSet<>();
     private final List<FrameListener> listeners = new ArrayList<>();
     private @Nullable FleetKey key;
-    private MemberRegister.Others members = new MemberRegister.Others(List.of(), List.of());
+    private MemberRegister.OtherEntries members = new MemberRegister.OtherEntries(List.of(), List.of());
 
     /**
      * Creates an instance without connections.
      *
      * @param address address on which this entry accepts connections of other entries
      * @param own identity of this entry
-     * @param homes home entries, which hold leases and to which every other entry must be connected
+     * @param homeEntries home entries, which hold leases and to which every other entry must be connected
      */
     public EntryPeers(
             EventLoopGroup loops,
@@ -54,14 +54,14 @@
             RowStore store,
             InetSocketAddress address,
             PeerIdentity own,
-            AccountHomes homes,
+            HomeEntries homeEntries,
             EntryMetrics metrics,
             DecisionLog log) {
         this.loops = loops;
         this.address = address;
         this.own = own;
         this.choice = new PeerChoice(own.name());
-        this.homes = homes;
+        this.homeEntries = homeEntries;
         this.metrics = metrics;
         this.log = log;
         this.keyRow = new FleetKeyRow(loop, store);
@@ -88,7 +88,7 @@
     /** Returns one connection to each entry to which this entry reports its load. */
     List<PeerConnection> loadReportTargets() {
         Map<String, PeerConnection> byEntry = byEntry();
-        return choice.loadReportTargets(byEntry.keySet(), homes.holders()).stream()
+        return choice.loadReportTargets(byEntry.keySet(), homeEntries.holders()).stream()
                 .map(byEntry::get)
                 .toList();
     }
@@ -134,8 +134,8 @@
      * Sets the addresses of the other entries. Connections to absent entries are tried too, because these may have
      * restarted before the member list shows it.
      */
-    public void members(MemberRegister.Others others) {
-        members = others;
+    public void members(MemberRegister.OtherEntries otherEntries) {
+        members = otherEntries;
         connect();
     }
 
@@ -162,7 +162,7 @@
     }
 
     private List<InetSocketAddress> connectionAddresses() {
-        return choice.connectionTargets(members, homes.holders()).stream()
+        return choice.connectionTargets(members, homeEntries.holders()).stream()
                 .map(MemberRegister.Member::address)
                 .toList();
     }
--- a/direct/src/main/java/org/streamring/direct/peer/PeerChoice.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PeerChoice.java
@@ -8,8 +8,8 @@
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.streamring.direct.feed.MemberRegister.Member;
-import org.streamring.direct.feed.MemberRegister.Others;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.direct.feed.MemberRegister.OtherEntries;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.routing.RendezvousHash;
 
 /**
@@ -22,10 +22,10 @@
      * Maximum number of connections that an entry opens. Other entries open about as many to it, and every entry opens
      * one to each holder of leases.
      */
-    static final int MAX_CONNECTIONS = AccountHomes.ALL_CONNECTED;
+    static final int MAX_CONNECTIONS = HomeEntries.ALL_CONNECTED;
 
     /** Maximum number of frames per load report or long prompt, so that they do not grow with the fleet. */
-    static final int MAX_LOAD_REPORT_TARGETS = AccountHomes.ALL_CONNECTED;
+    static final int MAX_LOAD_REPORT_TARGETS = HomeEntries.ALL_CONNECTED;
 
     /**
      * Maximum number of holders among the targets. All entries are connected to the holders. If all of 300 entries
@@ -48,11 +48,11 @@
      * Returns the entries to connect to: holders of leases first, absent entries last. Absent entries are included
      * because they may have restarted before the member list shows it.
      */
-    List<Member> connectionTargets(Others others, Set<String> holders) {
+    List<Member> connectionTargets(OtherEntries otherEntries, Set<String> holders) {
         Stream<Member> live = Stream.concat(
-                orderedByHash(others.live(), each -> holders.contains(each.name())),
-                orderedByHash(others.live(), each -> !holders.contains(each.name())));
-        return Stream.concat(live, orderedByHash(others.absent(), each -> true))
+                orderedByHash(otherEntries.live(), each -> holders.contains(each.name())),
+                orderedByHash(otherEntries.live(), each -> !holders.contains(each.name())));
+        return Stream.concat(live, orderedByHash(otherEntries.absent(), each -> true))
                 .limit(MAX_CONNECTIONS)
                 .toList();
     }
--- a/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
@@ -11,7 +11,7 @@
 import org.streamring.kernel.permit.LimitEvents;
 import org.streamring.kernel.permit.LimitNews;
 import org.streamring.kernel.permit.PermitAsk;
-import org.streamring.kernel.permit.PermitDesk;
+import org.streamring.kernel.permit.PermitCoordinator;
 import org.streamring.kernel.permit.PermitGrant;
 import org.streamring.kernel.permit.PermitLink;
 import org.streamring.net.generated.Wire;
@@ -20,7 +20,7 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Sends permit requests of {@link PermitDesk}, their answers and limit updates between entries. Confined to the event
+ * Sends permit requests of {@link PermitCoordinator}, their answers and limit updates between entries. Confined to the event
  * loop.
  */
 public final class PermitExchange implements PermitLink {
@@ -35,7 +35,7 @@
     private final LongSupplier clock;
     private final EntryMetrics metrics;
     private final DecisionLog log;
-    private final PermitDesk coordinator;
+    private final PermitCoordinator coordinator;
     private long usageSinceMillis;
 
     /**
@@ -60,11 +60,11 @@
         this.clock = clock;
         this.metrics = metrics;
         this.log = log;
-        this.coordinator = new PermitDesk(own, this, events);
+        this.coordinator = new PermitCoordinator(own, this, events);
     }
 
     /** Returns the coordinator that divides the limits of backend servers between this entry and the others. */
-    public PermitDesk desk() {
+    public PermitCoordinator coordinator() {
         return coordinator;
     }
 
@@ -85,16 +85,16 @@
     }
 
     @Override
-    public void ask(String entry, long number, PermitAsk ask) {
+    public void ask(String entry, long number, PermitAsk permitRequest) {
         Wire.PermitAsk request = Wire.PermitAsk.newBuilder()
                 .setQuery(number)
-                .setNews(encode(ask.news()))
-                .setWanted(ask.wanted())
+                .setNews(encode(permitRequest.news()))
+                .setWanted(permitRequest.wanted())
                 .build();
         send(entry, Frame.newBuilder().setPermitAsk(request).build());
         loop.schedule(
                 () -> coordinator.goOnWithUnanswered(clock.getAsLong()),
-                PermitDesk.TIMEOUT_MILLIS,
+                PermitCoordinator.TIMEOUT_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -153,8 +153,8 @@
         if (update.isEmpty()) {
             return;
         }
-        PermitAsk ask = new PermitAsk(update.get(), Math.max(1, request.getWanted()));
-        PermitGrant grant = coordinator.asked(connection.remote().name(), ask, now);
+        PermitAsk permitRequest = new PermitAsk(update.get(), Math.max(1, request.getWanted()));
+        PermitGrant grant = coordinator.asked(connection.remote().name(), permitRequest, now);
         PermitAnswer answer = PermitAnswer.newBuilder()
                 .setQuery(request.getQuery())
                 .setGranted(grant.count())
--- a/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
@@ -9,14 +9,14 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.ToLongFunction;
-import org.streamring.kernel.admission.LinkPace;
-import org.streamring.kernel.admission.LinkPace.Traffic;
+import org.streamring.kernel.admission.LinkBacklog;
+import org.streamring.kernel.admission.LinkBacklog.Traffic;
 import org.streamring.kernel.placement.PlacementReport;
 import org.streamring.kernel.placement.PlacementTable;
 import org.streamring.kernel.placement.PromptPart;
-import org.streamring.kernel.placement.PromptRead;
 import org.streamring.kernel.placement.ReplicaShare;
 import org.streamring.kernel.placement.ReportPace;
+import org.streamring.kernel.placement.SentPrompt;
 import org.streamring.net.generated.Wire.Frame;
 import org.streamring.net.generated.Wire.PlacementLoad;
 import org.streamring.net.generated.Wire.ReadPrompt;
@@ -43,7 +43,7 @@
     private final PlacementTable table;
     private final IntSupplier entries;
     private final ToLongFunction<String> memoryOf;
-    private final LinkPace linkBacklog;
+    private final LinkBacklog linkBacklog;
     private final ReportPace rateLimiter;
     private final LongSupplier clock;
     private final Map<String, Long> lastReportMillis = new HashMap<>();
@@ -64,7 +64,7 @@
             PlacementTable table,
             IntSupplier entries,
             ToLongFunction<String> memoryOf,
-            LinkPace linkBacklog,
+            LinkBacklog linkBacklog,
             ReportPace rateLimiter,
             LongSupplier clock) {
         this.loop = loop;
@@ -165,13 +165,13 @@
                         .setUnreadTokens(share.unreadTokens())
                         .setWeightOfStreams((float) share.weightOfStreams())
                         .setRecentPauses((float) share.recentPauses())));
-        report.prompts().forEach(read -> load.addPrompts(encode(read)));
+        report.prompts().forEach(sentPrompt -> load.addPrompts(encode(sentPrompt)));
         return load.build();
     }
 
-    private static ReadPrompt encode(PromptRead read) {
-        ReadPrompt.Builder prompt = ReadPrompt.newBuilder().setReplica(read.replica());
-        read.parts().forEach(part -> prompt.addPart(part.id()).addTokens(part.tokens()));
+    private static ReadPrompt encode(SentPrompt sentPrompt) {
+        ReadPrompt.Builder prompt = ReadPrompt.newBuilder().setReplica(sentPrompt.replica());
+        sentPrompt.parts().forEach(part -> prompt.addPart(part.id()).addTokens(part.tokens()));
         return prompt.build();
     }
 
@@ -186,16 +186,16 @@
                                 each.getUnreadTokens(),
                                 each.getWeightOfStreams(),
                                 each.getRecentPauses())));
-        List<PromptRead> prompts =
+        List<SentPrompt> prompts =
                 load.getPromptsList().stream().map(PlacementExchange::decode).toList();
         return new PlacementReport(shares, prompts);
     }
 
-    private static PromptRead decode(ReadPrompt read) {
+    private static SentPrompt decode(ReadPrompt sentPrompt) {
         List<PromptPart> parts = new ArrayList<>();
-        for (int i = 0; i < Math.min(read.getPartCount(), read.getTokensCount()); i++) {
-            parts.add(new PromptPart(read.getPart(i), read.getTokens(i)));
+        for (int i = 0; i < Math.min(sentPrompt.getPartCount(), sentPrompt.getTokensCount()); i++) {
+            parts.add(new PromptPart(sentPrompt.getPart(i), sentPrompt.getTokens(i)));
         }
-        return new PromptRead(read.getReplica(), parts);
+        return new SentPrompt(sentPrompt.getReplica(), parts);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
+++ b/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
@@ -19,7 +19,7 @@
 import org.streamring.direct.ledger.Lenders;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.net.generated.Wire.Frame;
 import org.streamring.net.generated.Wire.LendAnswer;
 import org.streamring.net.generated.Wire.LendAsk;
@@ -38,7 +38,7 @@
 
     private final EventLoop loop;
     private final EntryPeers peers;
-    private final AccountHomes homes;
+    private final HomeEntries homeEntries;
     private final Random random;
     private final EntryMetrics metrics;
     private final DecisionLog log;
@@ -49,18 +49,18 @@
     /**
      * Creates an instance; no tokens are lent before {@link #start}.
      *
-     * @param homes home entries, which hold the leases of an account
+     * @param homeEntries home entries, which hold the leases of an account
      */
     public TokenLending(
             EventLoop loop,
             EntryPeers peers,
-            AccountHomes homes,
+            HomeEntries homeEntries,
             Random random,
             EntryMetrics metrics,
             DecisionLog log) {
         this.loop = loop;
         this.peers = peers;
-        this.homes = homes;
+        this.homeEntries = homeEntries;
         this.random = random;
         this.metrics = metrics;
         this.log = log;
@@ -96,7 +96,7 @@
 
     private List<PeerConnection> connectedHomes(String account) {
         Map<String, PeerConnection> byEntry = peers.byEntry();
-        return shuffled(homes.of(account).stream()
+        return shuffled(homeEntries.of(account).stream()
                 .map(byEntry::get)
                 .filter(Objects::nonNull)
                 .toList());
@@ -109,7 +109,7 @@
     private List<PeerConnection> lenders(String account) {
         Map<String, PeerConnection> byEntry = peers.byEntry();
         List<PeerConnection> order = connectedHomes(account);
-        homes.of(account).forEach(byEntry::remove);
+        homeEntries.of(account).forEach(byEntry::remove);
         order.addAll(shuffled(byEntry.values()));
         return order.subList(0, Math.min(MAX_LENDERS_ASKED, order.size()));
     }
@@ -149,7 +149,7 @@
             }
             askedCount++;
             long queryId = nextQueryId++;
-            boolean home = homes.of(account).contains(next.remote().name());
+            boolean home = homeEntries.of(account).contains(next.remote().name());
             openQueries.put(queryId, new LoanQuery(loan -> answered(home, loan), this::askNext));
             loop.schedule(() -> continueRound(queryId), ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             loop.schedule(() -> openQueries.remove(queryId), LATE_ANSWER_MILLIS, TimeUnit.MILLISECONDS);
--- a/direct/src/main/java/org/streamring/direct/peer/UseWitnesses.java
+++ b/direct/src/main/java/org/streamring/direct/peer/UsageWitnesses.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import org.streamring.direct.ledger.Witnesses;
-import org.streamring.kernel.prepaid.WitnessNotes;
+import org.streamring.kernel.prepaid.WitnessRecords;
 import org.streamring.kernel.routing.RendezvousHash;
 import org.streamring.net.generated.Wire.AccountTokens;
 import org.streamring.net.generated.Wire.Frame;
@@ -27,7 +27,7 @@
  * use of tokens during a store outage. Each one is attributed to the incarnation that the handshake of the connection
  * authenticated. Confined to the event loop.
  */
-public final class UseWitnesses implements Witnesses {
+public final class UsageWitnesses implements Witnesses {
     /**
      * Two witnesses, because one may be lost together with the entry. With more, more of them would have to be alive
      * and be queried later.
@@ -38,13 +38,13 @@
 
     private final EntryPeers peers;
     private final String ownName;
-    private final WitnessNotes keptRecords = new WitnessNotes();
+    private final WitnessRecords keptRecords = new WitnessRecords();
     private final Map<Long, Consumer<String>> pendingAcknowledgements = new TreeMap<>();
     private final Map<String, BiConsumer<String, Map<String, Long>>> pendingQueries = new HashMap<>();
     private long nextNumber;
 
     /** Creates an instance; no usage record is kept before {@link #start}. */
-    public UseWitnesses(EntryPeers peers, String ownName) {
+    public UsageWitnesses(EntryPeers peers, String ownName) {
         this.peers = peers;
         this.ownName = ownName;
     }
--- a/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
+++ b/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
@@ -14,7 +14,7 @@
 import org.streamring.direct.backend.BackendAttempt;
 import org.streamring.direct.backend.BackendRequest;
 import org.streamring.direct.backend.Silence;
-import org.streamring.kernel.admission.LinkPace.Traffic;
+import org.streamring.kernel.admission.LinkBacklog.Traffic;
 import org.streamring.kernel.placement.PlacedPrompt;
 import org.streamring.kernel.placement.PlacementForecast;
 import org.streamring.kernel.placement.PlacementQuery;
--- a/direct/src/main/java/org/streamring/direct/request/NoticeLog.java
+++ b/direct/src/main/java/org/streamring/direct/request/AvailabilityLog.java
@@ -6,11 +6,11 @@
 import org.streamring.kernel.availability.NoticeSource;
 
 /** Logs changes of the availability that backend servers announce for themselves. */
-public final class NoticeLog implements AvailabilityEvents {
+public final class AvailabilityLog implements AvailabilityEvents {
     private final DecisionLog log;
 
     /** Creates a listener that writes to a log. */
-    public NoticeLog(DecisionLog log) {
+    public AvailabilityLog(DecisionLog log) {
         this.log = log;
     }
 
--- a/direct/src/main/java/org/streamring/direct/request/Fleet.java
+++ b/direct/src/main/java/org/streamring/direct/request/BackendFleet.java
@@ -20,7 +20,7 @@
 import org.streamring.kernel.limit.FleetRetryBudget;
 import org.streamring.kernel.permit.LimitWord;
 import org.streamring.kernel.permit.LimitedBackends;
-import org.streamring.kernel.permit.PermitDesk;
+import org.streamring.kernel.permit.PermitCoordinator;
 import org.streamring.kernel.placement.ColdLimit;
 import org.streamring.kernel.placement.ColdReplicas;
 import org.streamring.kernel.placement.PlacedPrompt;
@@ -34,7 +34,7 @@
 import org.streamring.platform.node.NodeSettings;
 
 /** Backend servers from the view of this entry: connections, load, health and retries. Confined to the event loop. */
-public final class Fleet {
+public final class BackendFleet {
     /** Statuses by which a replica rejects a request; they are no evidence of whether it serves requests properly. */
     private static final Set<Integer> REJECTION_STATUSES = Set.of(421, 429, 503);
 
@@ -45,7 +45,7 @@
     private final BackendRegistry registry;
     private final BackendAvailability availability;
     private final PlacementTable placement;
-    private final PermitDesk permits;
+    private final PermitCoordinator permits;
     private final LimitedBackends limits;
     private final ColdReplicas cold;
     private final OwnLateness boxDelay = new OwnLateness();
@@ -77,11 +77,11 @@
      * @param entries number of live entries
      * @param coldMargin requests that a cold replica tolerates above its rate
      */
-    public Fleet(
+    public BackendFleet(
             EventLoop loop,
             BackendRegistry registry,
             BackendAvailability availability,
-            PermitDesk permits,
+            PermitCoordinator permits,
             ColdReplicas cold,
             Random random,
             ForwardingHeaders headers,
--- a/direct/src/main/java/org/streamring/direct/request/SuspectGuard.java
+++ b/direct/src/main/java/org/streamring/direct/request/CrashSuspectGuard.java
@@ -18,7 +18,7 @@
  * Blocks requests that crash the servers which run them. It is queried before each attempt and notified of the end of
  * each attempt. Confined to the event loop.
  */
-public final class SuspectGuard {
+public final class CrashSuspectGuard {
     private final RequestDigests digests;
     private final SuspectTable table;
     private final SuspectExchange exchange;
@@ -27,7 +27,7 @@
     private final DecisionLog log;
 
     /** Creates a guard on a table of suspects that is exchanged with other entries. */
-    public SuspectGuard(
+    public CrashSuspectGuard(
             RequestDigests digests,
             SuspectTable table,
             SuspectExchange exchange,
--- a/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
+++ b/direct/src/main/java/org/streamring/direct/request/DirectRequest.java
@@ -9,7 +9,7 @@
 import org.streamring.direct.caller.AnswerWriter;
 import org.streamring.direct.caller.CallerRequest;
 import org.streamring.direct.caller.RequestSink;
-import org.streamring.kernel.admission.RequestDemand;
+import org.streamring.kernel.admission.RequestLiveness;
 import org.streamring.kernel.admission.WaitDecision;
 import org.streamring.kernel.placement.PlacementForecast;
 import org.streamring.kernel.placement.PlacementQuery;
@@ -46,8 +46,8 @@
     private final AnswerRelay relay;
     private final StreamTiming timing;
     private final Optional<Reservation> reservation;
-    private final SuspectGuard.Watched suspect;
-    private final RequestDemand liveness;
+    private final CrashSuspectGuard.Watched suspect;
+    private final RequestLiveness liveness;
     private final LinkUsage linkUsage;
     private final BackendRequestBuilder builder;
     private final AttemptHistory attempts = new AttemptHistory();
@@ -83,7 +83,7 @@
                 timing);
         this.reservation = Reservation.of(services.tokens(), plan.prepaidAccount(), plan.tokens());
         this.suspect = services.suspects().watch(request, plan.id(), plan.account());
-        this.liveness = new RequestDemand(writer::callerPresent, plan.deadlineMillis());
+        this.liveness = new RequestLiveness(writer::callerPresent, plan.deadlineMillis());
         this.linkUsage = new LinkUsage(services.link(), services.clock(), request.body().length);
         this.builder = new BackendRequestBuilder(services.names(), filter, request, plan);
     }
@@ -193,13 +193,13 @@
     }
 
     private boolean endedAsNotLive() {
-        RequestDemand.Verdict verdict = liveness.at(now());
-        if (verdict == RequestDemand.Verdict.CALLER_GONE) {
+        RequestLiveness.Verdict verdict = liveness.at(now());
+        if (verdict == RequestLiveness.Verdict.CALLER_GONE) {
             callerGone();
-        } else if (verdict == RequestDemand.Verdict.NO_TIME) {
+        } else if (verdict == RequestLiveness.Verdict.NO_TIME) {
             onDeadline();
         }
-        return verdict != RequestDemand.Verdict.WANTED;
+        return verdict != RequestLiveness.Verdict.WANTED;
     }
 
     private void send(BackendInstance instance, PlacementQuery query) {
@@ -213,7 +213,7 @@
 
     @Override
     public boolean isStillLive() {
-        return liveness.at(now()) == RequestDemand.Verdict.WANTED;
+        return liveness.at(now()) == RequestLiveness.Verdict.WANTED;
     }
 
     @Override
--- a/direct/src/main/java/org/streamring/direct/request/LinkUsage.java
+++ b/direct/src/main/java/org/streamring/direct/request/LinkUsage.java
@@ -1,19 +1,19 @@
 package org.streamring.direct.request;
 
 import java.util.function.LongSupplier;
-import org.streamring.kernel.admission.LinkPace;
-import org.streamring.kernel.admission.LinkPace.Traffic;
+import org.streamring.kernel.admission.LinkBacklog;
+import org.streamring.kernel.admission.LinkBacklog.Traffic;
 
 /** Bytes that one request adds to this box's network link each time it is sent. Confined to the event loop. */
 final class LinkUsage {
     /** Approximate size of the request line and the headers. */
     private static final long HEAD_BYTES = 600;
 
-    private final LinkPace link;
+    private final LinkBacklog link;
     private final LongSupplier clock;
     private final long bytes;
 
-    LinkUsage(LinkPace link, LongSupplier clock, int bodyBytes) {
+    LinkUsage(LinkBacklog link, LongSupplier clock, int bodyBytes) {
         this.link = link;
         this.clock = clock;
         this.bytes = HEAD_BYTES + bodyBytes;
--- a/direct/src/main/java/org/streamring/direct/request/RequestServices.java
+++ b/direct/src/main/java/org/streamring/direct/request/RequestServices.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
-import org.streamring.kernel.admission.LinkPace;
+import org.streamring.kernel.admission.LinkBacklog;
 import org.streamring.kernel.route.RouteTable;
 import org.streamring.model.route.Route;
 import org.streamring.platform.node.ForwardingHeaders;
@@ -37,10 +37,10 @@
         String failureDomain,
         ForwardingHeaders names,
         Supplier<Optional<RouteTable>> routes,
-        Fleet fleet,
+        BackendFleet fleet,
         TokenSource tokens,
-        SuspectGuard suspects,
+        CrashSuspectGuard suspects,
         Predicate<Route> canFinishBeforeStop,
-        LinkPace link,
+        LinkBacklog link,
         EntryMetrics metrics,
         DecisionLog log) {}
--- a/direct/src/main/java/org/streamring/direct/request/SlotQueue.java
+++ b/direct/src/main/java/org/streamring/direct/request/SlotQueue.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.streamring.kernel.admission.PlacePace;
+import org.streamring.kernel.admission.SlotReleaseRate;
 import org.streamring.kernel.admission.WaitDecision;
 import org.streamring.kernel.admission.WaitPolicy;
 import org.streamring.kernel.admission.WaitQuery;
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final WaitPolicy policy;
-    private final PlacePace releaseRate = new PlacePace();
+    private final SlotReleaseRate releaseRate = new SlotReleaseRate();
     private final List<Waiting> waiting = new ArrayList<>();
     private boolean tickScheduled;
 
--- a/direct/src/test/java/org/streamring/direct/feed/MemberRegisterTest.java
+++ b/direct/src/test/java/org/streamring/direct/feed/MemberRegisterTest.java
@@ -27,7 +27,7 @@
 
     private DefaultEventLoop loop;
     private FakeRowStore rows;
-    private BlockingQueue<MemberRegister.Others> received;
+    private BlockingQueue<MemberRegister.OtherEntries> received;
     private MemberRegister register;
 
     @BeforeMethod
@@ -51,10 +51,10 @@
         rows.addRow("entry-3", "stopped 127.0.0.3:7340");
         loop.execute(register::start);
 
-        MemberRegister.Others others = received.poll(5, TimeUnit.SECONDS);
-        assertThat(others.live())
+        MemberRegister.OtherEntries otherEntries = received.poll(5, TimeUnit.SECONDS);
+        assertThat(otherEntries.live())
                 .containsExactly(new MemberRegister.Member("entry-2", new InetSocketAddress("127.0.0.2", 7340)));
-        assertThat(others.absent())
+        assertThat(otherEntries.absent())
                 .containsExactly(new MemberRegister.Member("entry-3", new InetSocketAddress("127.0.0.3", 7340)));
         assertThat(register.live()).isEqualTo(2);
     }
@@ -87,9 +87,9 @@
         rows.addRow("entry-3", "entry-3.a 127.0.0.3:port");
         loop.execute(register::start);
 
-        MemberRegister.Others others = received.poll(5, TimeUnit.SECONDS);
-        assertThat(others.live()).isEmpty();
-        assertThat(others.absent()).isEmpty();
+        MemberRegister.OtherEntries otherEntries = received.poll(5, TimeUnit.SECONDS);
+        assertThat(otherEntries.live()).isEmpty();
+        assertThat(otherEntries.absent()).isEmpty();
     }
 
     private static final class FakeRowStore implements RowStore {
--- a/direct/src/test/java/org/streamring/direct/ledger/PredecessorLeasesTest.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/PredecessorLeasesTest.java
@@ -12,7 +12,7 @@
 import org.streamring.kernel.prepaid.Holding;
 import org.streamring.kernel.prepaid.Mark;
 import org.streamring.kernel.prepaid.MarkRow;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidRow;
 import org.streamring.kernel.prepaid.PrepaidSettings;
 import org.testng.annotations.AfterMethod;
@@ -63,7 +63,7 @@
 
     private long usedAfterSettling(long clockStartMillis, long bootMillis) {
         PredecessorLeases predecessor = new PredecessorLeases(
-                new PrepaidBook("entry.new", PrepaidSettings.DEFAULT),
+                new PrepaidLedger("entry.new", PrepaidSettings.DEFAULT),
                 new SilentWitnesses(),
                 () -> nowMillis,
                 () -> nowMillis + bootMillis,
--- a/direct/src/test/java/org/streamring/direct/ledger/TokenDeskTest.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/TokenAllocatorTest.java
@@ -23,11 +23,11 @@
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
 import org.streamring.direct.request.TokenSource.Outcome;
-import org.streamring.kernel.prepaid.AccountHomes;
 import org.streamring.kernel.prepaid.Holding;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.prepaid.Mark;
 import org.streamring.kernel.prepaid.MarkRow;
-import org.streamring.kernel.prepaid.PrepaidBook;
+import org.streamring.kernel.prepaid.PrepaidLedger;
 import org.streamring.kernel.prepaid.PrepaidRow;
 import org.streamring.kernel.prepaid.PrepaidSettings;
 import org.streamring.kernel.route.RouteTable;
@@ -40,7 +40,7 @@
 import org.testng.annotations.Test;
 
 /** Tests an entry of a fleet of 33 with a store that takes 30 ms to write, in simulated time. */
-public class TokenDeskTest {
+public class TokenAllocatorTest {
     private static final String ACCOUNT = "hotel";
     private static final long LIMIT = 10_000_000;
     /** More than the usage caps allow without another write, and much less than the lease. */
@@ -62,8 +62,8 @@
     private EventLoop loop;
     private long nowMillis;
     private SlowRows rows;
-    private PrepaidBook ledger;
-    private TokenDesk tokenAllocator;
+    private PrepaidLedger ledger;
+    private TokenAllocator tokenAllocator;
     private DecisionLog log;
 
     private TestLenders lenders;
@@ -89,16 +89,16 @@
         log = new DecisionLog(OutputStream.nullOutputStream(), "entry");
         List<String> names =
                 IntStream.range(0, 33).mapToObj(each -> "entry-" + each).toList();
-        AccountHomes view = new AccountHomes(names.get(0));
+        HomeEntries view = new HomeEntries(names.get(0));
         view.others(names);
         String borrower = names.stream()
                 .filter(name -> !view.of(ACCOUNT).contains(name))
                 .findFirst()
                 .orElseThrow();
-        AccountHomes homes = new AccountHomes(home ? view.of(ACCOUNT).get(0) : borrower);
-        homes.others(names);
+        HomeEntries homeEntries = new HomeEntries(home ? view.of(ACCOUNT).get(0) : borrower);
+        homeEntries.others(names);
         lenders = new TestLenders();
-        ledger = new PrepaidBook("entry.a", PrepaidSettings.DEFAULT);
+        ledger = new PrepaidLedger("entry.a", PrepaidSettings.DEFAULT);
         List<PrepaidAccount> prepaid = accounts.stream()
                 .map(name ->
                         new PrepaidAccount(name, List.of("key-" + name), OptionalInt.empty(), OptionalLong.of(LIMIT)))
@@ -106,13 +106,13 @@
         RouteTable table =
                 new RouteTable(new RoutingConfiguration(1, List.of(), List.of(), prepaid, CallerLimits.DEFAULT));
         leavePredecessor(accountsWithLeases);
-        tokenAllocator = new TokenDesk(
+        tokenAllocator = new TokenAllocator(
                 loop,
                 rows,
                 ledger,
                 "box",
                 () -> Optional.of(table),
-                homes,
+                homeEntries,
                 () -> 33,
                 lenders,
                 new NoWitnesses(),
--- a/direct/src/test/java/org/streamring/direct/peer/PeerChoiceTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/PeerChoiceTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.streamring.direct.feed.MemberRegister.Member;
-import org.streamring.direct.feed.MemberRegister.Others;
+import org.streamring.direct.feed.MemberRegister.OtherEntries;
 import org.testng.annotations.Test;
 
 public class PeerChoiceTest {
@@ -25,7 +25,7 @@
     @Test
     public void everyEntryConnectsToEveryHolder() {
         for (Member own : all) {
-            List<String> chosen = names(new PeerChoice(own.name()).connectionTargets(others(own), HOLDERS));
+            List<String> chosen = names(new PeerChoice(own.name()).connectionTargets(otherEntries(own), HOLDERS));
             Set<String> holders = new HashSet<>(HOLDERS);
             holders.remove(own.name());
             assertThat(chosen).containsAll(holders).hasSize(PeerChoice.MAX_CONNECTIONS);
@@ -34,12 +34,12 @@
 
     @Test
     public void connectsToAllEntriesOfASmallFleetWithAbsentOnesLast() {
-        Others others = new Others(all.subList(1, 20), all.subList(20, 33));
-        List<String> chosen = names(new PeerChoice("entry-0").connectionTargets(others, HOLDERS));
+        OtherEntries otherEntries = new OtherEntries(all.subList(1, 20), all.subList(20, 33));
+        List<String> chosen = names(new PeerChoice("entry-0").connectionTargets(otherEntries, HOLDERS));
         assertThat(chosen).hasSize(32);
         assertThat(chosen.subList(0, 19))
                 .containsExactlyInAnyOrderElementsOf(
-                        others.live().stream().map(Member::name).toList());
+                        otherEntries.live().stream().map(Member::name).toList());
     }
 
     @Test
@@ -57,8 +57,8 @@
                 .containsExactlyInAnyOrderElementsOf(connected);
     }
 
-    private Others others(Member own) {
-        return new Others(all.stream().filter(each -> !each.equals(own)).toList(), List.of());
+    private OtherEntries otherEntries(Member own) {
+        return new OtherEntries(all.stream().filter(each -> !each.equals(own)).toList(), List.of());
     }
 
     private static List<String> names(List<Member> members) {
--- a/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
@@ -20,7 +20,7 @@
 import org.streamring.direct.ledger.Lenders;
 import org.streamring.direct.log.DecisionLog;
 import org.streamring.direct.metrics.EntryMetrics;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.store.CommitResult;
 import org.streamring.kernel.store.RowChange;
 import org.streamring.kernel.store.RowKey;
@@ -67,16 +67,16 @@
             EntryMetrics metrics = new EntryMetrics();
             PeerIdentity own = new PeerIdentity(PeerIdentity.Role.ENTRY, name, name + ".a");
             peers = new EntryPeers(
-                    loops, loops.next(), new KeyStore(), address, own, new AccountHomes(own.name()), metrics, lines);
-            AccountHomes homes = new AccountHomes(name);
-            homes.others(List.of(other));
-            lending = new TokenLending(loops.next(), peers, homes, new Random(1), metrics, lines);
+                    loops, loops.next(), new KeyStore(), address, own, new HomeEntries(own.name()), metrics, lines);
+            HomeEntries homeEntries = new HomeEntries(name);
+            homeEntries.others(List.of(other));
+            lending = new TokenLending(loops.next(), peers, homeEntries, new Random(1), metrics, lines);
             lending.start(new AlwaysLends());
         }
 
         private void start(List<MemberRegister.Member> others) {
             run(() -> {
-                peers.members(new MemberRegister.Others(others, List.of()));
+                peers.members(new MemberRegister.OtherEntries(others, List.of()));
                 peers.start();
             });
         }
--- a/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
+++ b/direct/src/test/java/org/streamring/direct/request/RequestRouterTest.java
@@ -31,10 +31,10 @@
 import org.streamring.direct.peer.PermitExchange;
 import org.streamring.direct.suspect.SuspectExchange;
 import org.streamring.direct.suspect.SuspectLog;
-import org.streamring.kernel.admission.LinkPace;
+import org.streamring.kernel.admission.LinkBacklog;
 import org.streamring.kernel.availability.BackendAvailability;
 import org.streamring.kernel.placement.ColdReplicas;
-import org.streamring.kernel.prepaid.AccountHomes;
+import org.streamring.kernel.prepaid.HomeEntries;
 import org.streamring.kernel.registry.BackendInstance;
 import org.streamring.kernel.registry.BackendRegistry;
 import org.streamring.kernel.route.RouteTable;
@@ -193,18 +193,18 @@
                 store,
                 new InetSocketAddress(0),
                 new PeerIdentity(PeerIdentity.Role.ENTRY, ENTRY, ENTRY + ".a"),
-                new AccountHomes(ENTRY),
+                new HomeEntries(ENTRY),
                 metrics,
                 log);
-        BackendAvailability availability = new BackendAvailability(() -> 2_000, new NoticeLog(log));
+        BackendAvailability availability = new BackendAvailability(() -> 2_000, new AvailabilityLog(log));
         registry = new BackendRegistry(2_000, availability);
         PermitExchange permits = new PermitExchange(
                 loop, peers, ENTRY, Set::of, () -> nowMillis, metrics, log, new LimitLog(log, metrics));
-        Fleet fleet = new Fleet(
+        BackendFleet fleet = new BackendFleet(
                 loop,
                 registry,
                 availability,
-                permits.desk(),
+                permits.coordinator(),
                 new ColdReplicas(ENTRY, Set::of),
                 new Random(1),
                 TestHeaders.NAMES,
@@ -213,7 +213,7 @@
                 () -> new NodeSettings.RetryLimit(0.2, 10, Duration.ofSeconds(10)),
                 () -> new NodeSettings.ColdMargin(1, 1));
         SuspectTable suspects = new SuspectTable(SuspectLimits.DEFAULT, digest -> true, new SuspectLog(log));
-        SuspectGuard guard = new SuspectGuard(
+        CrashSuspectGuard guard = new CrashSuspectGuard(
                 new RequestDigests(Optional::empty),
                 suspects,
                 new SuspectExchange(loop, store, peers, ENTRY, suspects, () -> nowMillis, log),
@@ -232,7 +232,7 @@
                 tokens,
                 guard,
                 route -> true,
-                new LinkPace(() -> linkBytesPerSecond),
+                new LinkBacklog(() -> linkBytesPerSecond),
                 metrics,
                 log);
     }
--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -48,7 +48,7 @@
 import org.streamring.net.peer.PeerException;
 import org.streamring.net.peer.PeerIdentity;
 import org.streamring.net.process.AdminServer;
-import org.streamring.net.process.Incarnations;
+import org.streamring.net.process.IncarnationIds;
 import org.streamring.net.process.SettingsProgram;
 import org.streamring.net.process.WorkerPool;
 import org.streamring.net.settings.SettingValues;
@@ -94,7 +94,7 @@
                         settings.get(EntrySettings.PLATFORM_TIMEOUT));
         ledgers = new LedgerHolder(
                 name, address + ":" + settings.get(EntrySettings.PORT), EntrySettings.ledger(settings));
-        PeerIdentity own = new PeerIdentity(PeerIdentity.Role.ENTRY, name, Incarnations.next(name));
+        PeerIdentity own = new PeerIdentity(PeerIdentity.Role.ENTRY, name, IncarnationIds.next(name));
         links = new SidecarLinks(loops, new FleetKey(settings.get(EntrySettings.FLEET_KEY)), own, replicas, metrics);
         ledgerRunner = new LedgerRunner(
                 ledgers,
--- a/entry/src/main/java/org/streamring/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallerServer.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import org.streamring.net.peer.PeerException;
-import org.streamring.net.process.Listening;
+import org.streamring.net.process.ListeningSocket;
 
 /** HTTP server that accepts the connections of callers. */
 public final class CallerServer {
@@ -13,7 +13,7 @@
     private static final int MAX_HEADER_BYTES = 16_384;
     private static final int MAX_CHUNK_BYTES = 16_384;
 
-    private final Listening listening;
+    private final ListeningSocket listeningSocket;
 
     /**
      * Starts to listen.
@@ -28,7 +28,7 @@
             Duration callTimeout,
             CallReceiver receiver)
             throws PeerException {
-        listening = new Listening(loops, address, accepted -> {
+        listeningSocket = new ListeningSocket(loops, address, accepted -> {
             CallTimeoutHandler timeoutHandler = new CallTimeoutHandler(callTimeout);
             accepted.pipeline()
                     .addLast(
@@ -41,11 +41,11 @@
 
     /** Returns the port that the server listens on. */
     public int port() {
-        return listening.port();
+        return listeningSocket.port();
     }
 
     /** Stops accepting connections. */
     public void close() {
-        listening.close();
+        listeningSocket.close();
     }
 }
--- a/entry/src/main/java/org/streamring/entry/ledger/LedgerHolder.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/LedgerHolder.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 import org.streamring.kernel.ledger.LeaseLedger;
 import org.streamring.kernel.ledger.LedgerSettings;
-import org.streamring.net.process.Incarnations;
+import org.streamring.net.process.IncarnationIds;
 
 /**
  * Holds the lease ledger of the entry's current incarnation. A fenced ledger is replaced by the ledger of a new
@@ -30,7 +30,7 @@
     }
 
     private LeaseLedger newLedger() {
-        return new LeaseLedger(Incarnations.next(boxName), address, settings);
+        return new LeaseLedger(IncarnationIds.next(boxName), address, settings);
     }
 
     /**
--- a/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
@@ -21,7 +21,7 @@
 import org.streamring.kernel.ledger.BillItem;
 import org.streamring.kernel.ledger.HeldRecord;
 import org.streamring.kernel.receipt.Receipt;
-import org.streamring.kernel.recovery.EntryWatch;
+import org.streamring.kernel.recovery.EntryFailureDetector;
 import org.streamring.kernel.recovery.HeldResolver;
 import org.streamring.kernel.recovery.LeaseCloser;
 import org.streamring.kernel.recovery.PeerReceipts;
@@ -50,7 +50,7 @@
     private final BillArchive bills;
     private final SidecarLinks links;
     private final LedgerHolder ledgers;
-    private final EntryWatch watch;
+    private final EntryFailureDetector detector;
     private final Duration unansweredAfter;
     private final Duration interval;
     private final LongSupplier lastOutageMillis;
@@ -77,7 +77,7 @@
         this.bills = bills;
         this.links = links;
         this.ledgers = ledgers;
-        this.watch = new EntryWatch(suspectAfter);
+        this.detector = new EntryFailureDetector(suspectAfter);
         this.unansweredAfter = suspectAfter;
         this.interval = interval;
         this.lastOutageMillis = lastOutageMillis;
@@ -93,7 +93,7 @@
         }
         List<Row> entries = scan(RowKeys.ENTRIES);
         nextRunMillis = nowMillis + interval.toMillis() * (entries.size() / ENTRIES_PER_INTERVAL);
-        List<Row> suspects = watch.observe(entries, lastOutageMillis.getAsLong(), nowMillis);
+        List<Row> suspects = detector.observe(entries, lastOutageMillis.getAsLong(), nowMillis);
         Set<String> live = new HashSet<>();
         entries.forEach(row -> live.add(LeaseCloser.incarnationOf(row)));
         suspects.forEach(row -> live.remove(LeaseCloser.incarnationOf(row)));
@@ -149,8 +149,9 @@
         Optional<List<PeerReceipts>> answers = fenceAll(peers, incarnation, skipUnanswered);
         if (answers.isPresent()) {
             List<BillItem> voidedItems = bills.takeOver(incarnation, entryRow.amount());
-            LeaseCloser.Findings findings = new LeaseCloser.Findings(peers, answers.get(), voidedItems);
-            settleAll(closer, entryRow, peersRows.get(0), findings, nowMillis);
+            LeaseCloser.CollectedReceipts collected =
+                    new LeaseCloser.CollectedReceipts(peers, answers.get(), voidedItems);
+            settleAll(closer, entryRow, peersRows.get(0), collected, nowMillis);
         }
     }
 
@@ -184,7 +185,7 @@
     }
 
     private void settleAll(
-            LeaseCloser closer, Row closingRow, Row peersRow, LeaseCloser.Findings findings, long nowMillis)
+            LeaseCloser closer, Row closingRow, Row peersRow, LeaseCloser.CollectedReceipts collected, long nowMillis)
             throws PlatformException {
         String incarnation = LeaseCloser.incarnationOf(closingRow);
         String own = ledgers.current().incarnation();
@@ -192,7 +193,7 @@
         List<Row> leaseRows = scan(RowKeys.leasesOf(incarnation));
         for (int from = 0; from < leaseRows.size(); from += LeaseCloser.MAX_LEASES) {
             List<Row> batch = leaseRows.subList(from, Math.min(leaseRows.size(), from + LeaseCloser.MAX_LEASES));
-            LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, findings, nowMillis);
+            LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, collected, nowMillis);
             bills.writeClosing(incarnation, own, LeaseCloser.leaseIdOf(batch.get(0)), settlement.items());
             Optional<Row> written = committedRow(table.transact(settlement.transaction()), entryRow.key());
             if (written.isEmpty()) {
--- a/net/src/main/java/org/streamring/net/peer/PeerServer.java
+++ b/net/src/main/java/org/streamring/net/peer/PeerServer.java
@@ -4,11 +4,11 @@
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import org.streamring.net.peer.FleetKey.Side;
-import org.streamring.net.process.Listening;
+import org.streamring.net.process.ListeningSocket;
 
 /** Accepts and authenticates connections from other processes of the fleet. */
 public final class PeerServer {
-    private final Listening socket;
+    private final ListeningSocket socket;
 
     /**
      * Binds the address and blocks until the socket is listening. Must not be called on an event loop.
@@ -22,7 +22,7 @@
             PeerIdentity ownIdentity,
             PeerListener listener)
             throws PeerException {
-        socket = new Listening(
+        socket = new ListeningSocket(
                 loops,
                 address,
                 accepted -> FrameCodec.install(
@@ -36,7 +36,7 @@
             FleetKey fleetKey,
             PeerIdentity ownIdentity,
             PeerListener listener) {
-        return Listening.open(
+        return ListeningSocket.open(
                 loops,
                 address,
                 accepted -> FrameCodec.install(
--- a/net/src/main/java/org/streamring/net/process/AdminServer.java
+++ b/net/src/main/java/org/streamring/net/process/AdminServer.java
@@ -22,7 +22,7 @@
 public final class AdminServer {
     private static final int MAX_BODY_BYTES = 1024;
 
-    private final Listening listening;
+    private final ListeningSocket listeningSocket;
     private final PrometheusMeterRegistry metrics;
     private final BooleanSupplier ready;
 
@@ -37,13 +37,13 @@
             throws PeerException {
         this.metrics = metrics;
         this.ready = ready;
-        listening = new Listening(loops, address, accepted -> accepted.pipeline()
+        listeningSocket = new ListeningSocket(loops, address, accepted -> accepted.pipeline()
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler()));
     }
 
     /** Returns the local port. */
     public int port() {
-        return listening.port();
+        return listeningSocket.port();
     }
 
     private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
--- a/net/src/main/java/org/streamring/net/process/Listening.java
+++ b/net/src/main/java/org/streamring/net/process/ListeningSocket.java
@@ -12,7 +12,7 @@
 import org.streamring.net.peer.PeerException;
 
 /** Listening TCP socket. */
-public final class Listening {
+public final class ListeningSocket {
     private final Channel channel;
 
     /**
@@ -21,7 +21,7 @@
      * @param initializer sets up the pipeline of each accepted connection
      * @throws PeerException if the address cannot be bound
      */
-    public Listening(EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> initializer)
+    public ListeningSocket(EventLoopGroup loops, InetSocketAddress address, Consumer<SocketChannel> initializer)
             throws PeerException {
         ChannelFuture bound = open(loops, address, initializer).awaitUninterruptibly();
         if (!bound.isSuccess()) {
--- a/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.streamring.kernel.receipt.AdmitDecision;
 import org.streamring.kernel.receipt.AttemptOrder;
-import org.streamring.kernel.receipt.ReceiptBook;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.kernel.receipt.Usage;
 import org.streamring.model.request.RefusalReason;
 import org.streamring.net.generated.Wire.Begin;
@@ -25,7 +25,7 @@
 /** Runs the attempts that the receipt store admits, and sends their answers to the entries. */
 final class AttemptRunner {
     private final String incarnation;
-    private final ReceiptBook receiptStore;
+    private final ReceiptStore receiptStore;
     private final BackendClient backend;
     private final MeterRegistry metrics;
     private final Map<String, RunningAttempt> runningAttempts = new ConcurrentHashMap<>();
@@ -48,7 +48,7 @@
         }
     }
 
-    AttemptRunner(String incarnation, ReceiptBook receiptStore, BackendClient backend, MeterRegistry metrics) {
+    AttemptRunner(String incarnation, ReceiptStore receiptStore, BackendClient backend, MeterRegistry metrics) {
         this.incarnation = incarnation;
         this.receiptStore = receiptStore;
         this.backend = backend;
--- a/sidecar/src/main/java/org/streamring/sidecar/EntryFrameHandler.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/EntryFrameHandler.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.streamring.kernel.receipt.Receipt;
-import org.streamring.kernel.receipt.ReceiptBook;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.net.generated.Wire.Frame;
 import org.streamring.net.generated.Wire.Ping;
 import org.streamring.net.generated.Wire.Pong;
@@ -19,12 +19,12 @@
 final class EntryFrameHandler implements PeerListener {
     private static final Logger LOGGER = LoggerFactory.getLogger(EntryFrameHandler.class);
 
-    private final ReceiptBook receiptStore;
+    private final ReceiptStore receiptStore;
     private final AttemptRunner runner;
     private long lastOrderVersion;
     private boolean stopping;
 
-    EntryFrameHandler(ReceiptBook receiptStore, AttemptRunner runner) {
+    EntryFrameHandler(ReceiptStore receiptStore, AttemptRunner runner) {
         this.receiptStore = receiptStore;
         this.runner = runner;
     }
--- a/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.streamring.kernel.receipt.ReceiptBook;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.net.peer.FleetKey;
 import org.streamring.net.peer.PeerException;
 import org.streamring.net.peer.PeerIdentity;
 import org.streamring.net.peer.PeerServer;
 import org.streamring.net.process.AdminServer;
-import org.streamring.net.process.Incarnations;
+import org.streamring.net.process.IncarnationIds;
 import org.streamring.net.process.SettingsProgram;
 import org.streamring.net.settings.SettingValues;
 import org.streamring.sidecar.backend.BackendClient;
@@ -34,7 +34,7 @@
     private final NioEventLoopGroup eventLoops =
             new NioEventLoopGroup(EVENT_LOOP_THREADS, new DefaultThreadFactory("loop", true));
     private final PrometheusMeterRegistry metrics = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ReceiptBook receiptStore;
+    private final ReceiptStore receiptStore;
     private final BackendClient backend;
     private final EntryFrameHandler entryFrameHandler;
     private final PeerServer server;
@@ -50,8 +50,8 @@
         this.settings = settings;
         String name = settings.get(SidecarSettings.NAME);
         String address = settings.get(SidecarSettings.ADDRESS);
-        incarnation = Incarnations.next(name);
-        receiptStore = new ReceiptBook(SidecarSettings.receiptStoreSettings(settings));
+        incarnation = IncarnationIds.next(name);
+        receiptStore = new ReceiptStore(SidecarSettings.receiptStoreSettings(settings));
         backend = new BackendClient(new BackendSettings(
                 URI.create(settings.get(SidecarSettings.BACKEND_URL)),
                 settings.get(SidecarSettings.BACKEND_CANCEL).equals("call"),
--- a/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
@@ -329,10 +329,10 @@
                 .filter(receipt -> !settled.contains(receipt.attempt()))
                 .filter(receipt -> receipt.leaseId().startsWith(incarnation + "/"))
                 .toList();
-        LeaseCloser.Findings findings =
-                new LeaseCloser.Findings(List.of(SIDECAR), List.of(new PeerReceipts(SIDECAR, unsettled)), List.of());
+        LeaseCloser.CollectedReceipts collected = new LeaseCloser.CollectedReceipts(
+                List.of(SIDECAR), List.of(new PeerReceipts(SIDECAR, unsettled)), List.of());
         List<Row> leases = table.scan(RowKeys.leasesOf(incarnation), "", LeaseCloser.MAX_LEASES);
-        LeaseCloser.Settlement settlement = closer.settle(entryRow(incarnation), leases, findings, nowMillis);
+        LeaseCloser.Settlement settlement = closer.settle(entryRow(incarnation), leases, collected, nowMillis);
         transact(settlement.transaction());
         settlement.items().forEach(this::bill);
         Row peersRow = table.read(List.of(RowKeys.peers(incarnation))).get(0);
--- a/standin/src/main/java/org/streamring/standin/experiment/MeasuredSubjects.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/MeasuredSubjects.java
@@ -21,8 +21,8 @@
 import org.streamring.kernel.policy.PolicyException;
 import org.streamring.kernel.policy.PolicyInput;
 import org.streamring.kernel.receipt.AttemptOrder;
-import org.streamring.kernel.receipt.ReceiptBook;
 import org.streamring.kernel.receipt.ReceiptBookSettings;
+import org.streamring.kernel.receipt.ReceiptStore;
 import org.streamring.kernel.receipt.Usage;
 import org.streamring.kernel.routing.Candidate;
 import org.streamring.kernel.routing.PrefixIndex;
@@ -124,13 +124,13 @@
                 5);
     }
 
-    private static ReceiptBook receiptStore() {
-        return new ReceiptBook(new ReceiptBookSettings(
+    private static ReceiptStore receiptStore() {
+        return new ReceiptStore(new ReceiptBookSettings(
                 Integer.MAX_VALUE / 100, Duration.ofMinutes(10), 1L << 40, Duration.ofHours(24), Integer.MAX_VALUE));
     }
 
     static Object receipts(int count) {
-        ReceiptBook receiptStore = receiptStore();
+        ReceiptStore receiptStore = receiptStore();
         for (int i = 0; i < count; i++) {
             receiptStore.admit(order(i, true), 0);
             receiptStore.end(order(i, true), Usage.ofModel(100, 200), 0, 0);
@@ -139,7 +139,7 @@
     }
 
     static Object rememberedRequests(int count) {
-        ReceiptBook receiptStore = receiptStore();
+        ReceiptStore receiptStore = receiptStore();
         List<String> leases = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             AttemptOrder order = order(i, false);
@@ -218,7 +218,7 @@
     }
 
     static Runnable admitAndEnd() {
-        ReceiptBook receiptStore = receiptStore();
+        ReceiptStore receiptStore = receiptStore();
         AtomicLong counter = new AtomicLong();
         return () -> {
             AttemptOrder order = order((int) counter.incrementAndGet(), true);
--- a/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
+++ b/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import org.streamring.kernel.admission.PlacePace;
+import org.streamring.kernel.admission.SlotReleaseRate;
 import org.streamring.kernel.admission.WaitDecision;
 import org.streamring.kernel.admission.WaitPolicy;
 import org.streamring.kernel.admission.WaitQuery;
@@ -31,7 +31,7 @@
     private final PlacementTable placement;
     private final ColdReplicas coldReplicas;
     private final WaitPolicy waitPolicy;
-    private final PlacePace slotReleaseRate = new PlacePace();
+    private final SlotReleaseRate slotReleaseRate = new SlotReleaseRate();
     private final List<EntryTry> queue = new ArrayList<>();
     private boolean checkScheduled;
 
