--- a/cli/src/main/java/org/streamring/cli/BudgetCommands.java
+++ b/cli/src/main/java/org/streamring/cli/BudgetCommands.java
@@ -142,7 +142,7 @@
                         "decide-held " + id + " spent " + spent,
                         List.of(),
                         List.of(),
-                        new HeldResolver("operator").onDecision(row, spent));
+                        new HeldResolver("operator").settleByDecision(row, spent));
                 System.out.println("decided; version " + requireApplied(client.changeLatest(wanted)));
             });
         }
--- a/core/src/main/java/org/streamring/kernel/admission/EventLoopDelay.java
+++ b/core/src/main/java/org/streamring/kernel/admission/EventLoopDelay.java
@@ -31,7 +31,7 @@
     public record Change(boolean late, long delayMillis, long longestMillis, long lateForMillis) {}
 
     /** Records the delay of a timer, and returns the change that it causes, if any. */
-    public Optional<Change> ran(long delayMillis, long nowMillis) {
+    public Optional<Change> recordDelay(long delayMillis, long nowMillis) {
         longestMillis = Math.max(longestMillis, delayMillis);
         if (!late && delayMillis > LATE_MILLIS) {
             late = true;
--- a/core/src/main/java/org/streamring/kernel/admission/FixedWindow.java
+++ b/core/src/main/java/org/streamring/kernel/admission/FixedWindow.java
@@ -19,13 +19,13 @@
     @Override
     public WaitDecision decide(WaitQuery query) {
         long remainingMillis = query.targetMillis() / TARGET_DIVISOR - query.waitedMillis();
-        long closedMillis = query.closedMillis();
-        if (closedMillis > 0 && closedMillis < WaitQuery.NEVER) {
-            return closedMillis > remainingMillis
-                    ? WaitDecision.refuse(Duration.ofMillis(closedMillis))
+        long unavailableMillis = query.unavailableMillis();
+        if (unavailableMillis > 0 && unavailableMillis < WaitQuery.NEVER) {
+            return unavailableMillis > remainingMillis
+                    ? WaitDecision.refuse(Duration.ofMillis(unavailableMillis))
                     : WaitDecision.WAIT;
         }
-        boolean refused = closedMillis == WaitQuery.NEVER || remainingMillis <= 0;
+        boolean refused = unavailableMillis == WaitQuery.NEVER || remainingMillis <= 0;
         return refused ? WaitDecision.refuse(RETRY_AFTER) : WaitDecision.WAIT;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/admission/LinkBacklog.java
+++ b/core/src/main/java/org/streamring/kernel/admission/LinkBacklog.java
@@ -15,7 +15,7 @@
  */
 public final class LinkBacklog {
     /** Half of the time within which a disconnect of a caller must reach a server. */
-    public static final long MOST_QUEUED_MILLIS = 250;
+    public static final long MAX_QUEUED_MILLIS = 250;
 
     /** Size of one packet; delaying requests up to this size would not shorten the queue. */
     static final long PACKET_BYTES = 1_460;
@@ -49,13 +49,13 @@
     }
 
     /** Records bytes that are written to the link. */
-    public void written(Traffic traffic, long count, long nowMillis) {
+    public void addBytes(Traffic traffic, long count, long nowMillis) {
         bytes.merge(traffic, count, Long::sum);
         emptyAtMillis = Math.max(emptyAtMillis, (double) nowMillis) + transmissionMillis(count);
     }
 
-    /** Subtracts bytes that were recorded with {@link #written} but are not written after all. */
-    public void notWritten(Traffic traffic, long count) {
+    /** Subtracts bytes that were recorded with {@link #addBytes} but are not written after all. */
+    public void subtractBytes(Traffic traffic, long count) {
         bytes.merge(traffic, -count, Long::sum);
         emptyAtMillis -= transmissionMillis(count);
     }
@@ -73,8 +73,8 @@
     /**
      * Returns the time in milliseconds until a request of the given size may be written; 0 if it may be written now.
      */
-    public long closedMillis(long count, long nowMillis) {
-        return count <= PACKET_BYTES ? 0 : Math.max(0, queuedMillis(nowMillis) - MOST_QUEUED_MILLIS);
+    public long delayMillis(long count, long nowMillis) {
+        return count <= PACKET_BYTES ? 0 : Math.max(0, queuedMillis(nowMillis) - MAX_QUEUED_MILLIS);
     }
 
     private double transmissionMillis(long count) {
--- a/core/src/main/java/org/streamring/kernel/admission/OwnLateness.java
+++ b/core/src/main/java/org/streamring/kernel/admission/OwnLateness.java
@@ -32,7 +32,7 @@
      *
      * @param server identifier of the server
      */
-    public void connecting(String server, long durationMillis, long nowMillis) {
+    public void recordConnectTime(String server, long durationMillis, long nowMillis) {
         removeExpired(nowMillis);
         latestByServer.put(server, new ConnectTime(durationMillis, nowMillis));
     }
@@ -40,7 +40,7 @@
     /**
      * Returns whether this box is delayed: connecting was slow for at least half of the servers connected to recently.
      */
-    public boolean late(long nowMillis) {
+    public boolean isDelayed(long nowMillis) {
         removeExpired(nowMillis);
         long slow = latestByServer.values().stream()
                 .filter(each -> each.durationMillis() > LATE_MILLIS)
--- a/core/src/main/java/org/streamring/kernel/admission/SlotReleaseRate.java
+++ b/core/src/main/java/org/streamring/kernel/admission/SlotReleaseRate.java
@@ -7,23 +7,23 @@
     /** Covers both plain calls, which take about 90 ms, and streams, which take some seconds. */
     private static final double WINDOW_MILLIS = 1_000;
 
-    private double freed;
+    private double recordRelease;
     private long updatedMillis;
 
     /** Records that a slot was released. */
-    public void freed(long nowMillis) {
+    public void recordRelease(long nowMillis) {
         decay(nowMillis);
-        freed++;
+        recordRelease++;
     }
 
     /** Returns the average number of slots released per millisecond. */
     public double perMilli(long nowMillis) {
         decay(nowMillis);
-        return freed / WINDOW_MILLIS;
+        return recordRelease / WINDOW_MILLIS;
     }
 
     private void decay(long nowMillis) {
-        freed *= Math.exp(-(nowMillis - updatedMillis) / WINDOW_MILLIS);
+        recordRelease *= Math.exp(-(nowMillis - updatedMillis) / WINDOW_MILLIS);
         updatedMillis = nowMillis;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/availability/AvailabilityEvents.java
+++ b/core/src/main/java/org/streamring/kernel/availability/AvailabilityEvents.java
@@ -9,8 +9,8 @@
     void leaving(String incarnation, NoticeSource source);
 
     /** Called when an incarnation that was not backing off asks to receive no requests for the given time. */
-    void rests(String incarnation, long restMillis);
+    void backOffStarted(String incarnation, long backOffMillis);
 
     /** Called when an incarnation has answered its first request after a back-off. */
-    void rested(String incarnation);
+    void backOffEnded(String incarnation);
 }
--- a/core/src/main/java/org/streamring/kernel/availability/BackendAvailability.java
+++ b/core/src/main/java/org/streamring/kernel/availability/BackendAvailability.java
@@ -54,7 +54,7 @@
 
     /** Reported state of one incarnation. */
     private static final class ReportedState {
-        private @Nullable NoticeSource leaving;
+        private @Nullable NoticeSource shuttingDown;
         private long leavingSinceMillis;
         private long backOffUntilMillis = Long.MIN_VALUE;
         private RampUp rampUp = RampUp.OPEN;
@@ -92,13 +92,13 @@
     /** Records that an incarnation is shutting down. */
     public void leaving(String incarnation, NoticeSource source, long nowMillis) {
         ReportedState reported = recordNotice(incarnation, nowMillis);
-        if (reported.leaving == NoticeSource.ROW || reported.leaving == source) {
+        if (reported.shuttingDown == NoticeSource.ROW || reported.shuttingDown == source) {
             return;
         }
-        if (reported.leaving == null) {
+        if (reported.shuttingDown == null) {
             reported.leavingSinceMillis = nowMillis;
         }
-        reported.leaving = source;
+        reported.shuttingDown = source;
         events.leaving(incarnation, source);
     }
 
@@ -109,23 +109,23 @@
      * @param turnedAway whether the server rejected the request
      */
     public void answered(String incarnation, boolean turnedAway, BackendNotice notice, long nowMillis) {
-        if (notice.leaving()) {
+        if (notice.shuttingDown()) {
             leaving(incarnation, NoticeSource.ANSWER, nowMillis);
         }
-        if (notice.restMillis() > 0) {
-            recordBackOff(incarnation, notice.restMillis(), nowMillis);
+        if (notice.backOffMillis() > 0) {
+            recordBackOff(incarnation, notice.backOffMillis(), nowMillis);
         } else if (!turnedAway) {
             recordServed(incarnation, nowMillis);
         }
     }
 
     /** Records a back-off; of several back-offs, the one that ends last applies. */
-    private void recordBackOff(String incarnation, long restMillis, long nowMillis) {
+    private void recordBackOff(String incarnation, long backOffMillis, long nowMillis) {
         ReportedState reported = recordNotice(incarnation, nowMillis);
         if (!reported.isBackingOff(nowMillis)) {
-            events.rests(incarnation, restMillis);
+            events.backOffStarted(incarnation, backOffMillis);
         }
-        reported.backOffUntilMillis = Math.max(reported.backOffUntilMillis, nowMillis + restMillis);
+        reported.backOffUntilMillis = Math.max(reported.backOffUntilMillis, nowMillis + backOffMillis);
         reported.rampUp = RampUp.PROBING;
         reported.placed = 0;
         reported.lastPlacedMillis = Long.MIN_VALUE / 2;
@@ -138,7 +138,7 @@
         }
         reported.rampUp = RampUp.GROWING;
         reported.growingSinceMillis = nowMillis;
-        events.rested(incarnation);
+        events.backOffEnded(incarnation);
     }
 
     private ReportedState recordNotice(String incarnation, long nowMillis) {
@@ -148,9 +148,9 @@
     }
 
     /** Returns whether an incarnation is shutting down. */
-    public boolean isLeaving(String incarnation) {
+    public boolean isShuttingDown(String incarnation) {
         ReportedState reported = statesByIncarnation.get(incarnation);
-        return reported != null && reported.leaving != null;
+        return reported != null && reported.shuttingDown != null;
     }
 
     /**
@@ -158,10 +158,10 @@
      * request first, and increasingly many once it has answered: sending all waiting requests at once causes the next
      * rejections.
      */
-    public boolean takes(String incarnation, long nowMillis) {
+    public boolean isAvailable(String incarnation, long nowMillis) {
         ReportedState reported = statesByIncarnation.get(incarnation);
         return reported == null
-                || (reported.leaving == null && !reported.isBackingOff(nowMillis) && reported.hasRoom(nowMillis));
+                || (reported.shuttingDown == null && !reported.isBackingOff(nowMillis) && reported.hasRoom(nowMillis));
     }
 
     /**
@@ -169,10 +169,10 @@
      * for the drain time, which starts with the first answer that reports the shutdown. If its row in the list reports
      * the shutdown, the start is not known, and the incarnation is not used.
      */
-    public boolean takesAsLast(String incarnation, long nowMillis) {
+    public boolean isAvailableAsLastResort(String incarnation, long nowMillis) {
         ReportedState reported = statesByIncarnation.get(incarnation);
         return reported != null
-                && reported.leaving == NoticeSource.ANSWER
+                && reported.shuttingDown == NoticeSource.ANSWER
                 && !reported.isBackingOff(nowMillis)
                 && nowMillis - reported.leavingSinceMillis < drainMillis.getAsLong() - SENDING_MARGIN_MILLIS;
     }
@@ -180,16 +180,16 @@
     /**
      * Returns whether a request that was placed at an incarnation may still be sent to it.
      *
-     * @param asLast whether the incarnation was chosen by {@link #takesAsLast}
+     * @param asLast whether the incarnation was chosen by {@link #isAvailableAsLastResort}
      */
     public boolean mayBeSent(String incarnation, boolean asLast, long nowMillis) {
         ReportedState reported = statesByIncarnation.get(incarnation);
         if (reported == null) {
             return true;
         }
-        return reported.leaving == null
+        return reported.shuttingDown == null
                 ? !reported.isBackingOff(nowMillis)
-                : asLast && takesAsLast(incarnation, nowMillis);
+                : asLast && isAvailableAsLastResort(incarnation, nowMillis);
     }
 
     /** Records that a request is placed at an incarnation. */
@@ -202,20 +202,20 @@
     }
 
     /** Returns the remaining back-off of an incarnation in milliseconds; 0 if it is not backing off. */
-    public long restLeftMillis(String incarnation, long nowMillis) {
+    public long remainingBackOffMillis(String incarnation, long nowMillis) {
         ReportedState reported = statesByIncarnation.get(incarnation);
         return reported != null && reported.isBackingOff(nowMillis) ? reported.backOffUntilMillis - nowMillis : 0;
     }
 
     /** Returns the number of recorded incarnations that are shutting down. */
-    public long leavingCount() {
+    public long shuttingDownCount() {
         return statesByIncarnation.values().stream()
-                .filter(reported -> reported.leaving != null)
+                .filter(reported -> reported.shuttingDown != null)
                 .count();
     }
 
     /** Returns the number of incarnations that are backing off. */
-    public long restingCount(long nowMillis) {
+    public long backingOffCount(long nowMillis) {
         return statesByIncarnation.values().stream()
                 .filter(reported -> reported.isBackingOff(nowMillis))
                 .count();
--- a/core/src/main/java/org/streamring/kernel/config/ConfigurationHolder.java
+++ b/core/src/main/java/org/streamring/kernel/config/ConfigurationHolder.java
@@ -19,7 +19,7 @@
     private final Map<String, ConfigItem> items = new HashMap<>();
     private final List<Listener> listeners = new CopyOnWriteArrayList<>();
     private volatile Configuration current = new Configuration(0, Declarations.EMPTY);
-    private long staleOffers;
+    private long ignoredVersions;
 
     /**
      * Version of the configuration and its declarations.
@@ -47,8 +47,8 @@
     }
 
     /** Returns the number of offered versions that were not newer than the one in force. */
-    public synchronized long staleOffers() {
-        return staleOffers;
+    public synchronized long ignoredVersions() {
+        return ignoredVersions;
     }
 
     /**
@@ -56,7 +56,7 @@
      *
      * @return whether the copy came into force
      */
-    public boolean offerFull(long version, List<ConfigItem> full) {
+    public boolean applyFull(long version, List<ConfigItem> full) {
         synchronized (this) {
             if (isStale(version)) {
                 return false;
@@ -75,14 +75,14 @@
      * @return the last version before a missing one, in which case a full copy is needed; empty if no version is
      *     missing
      */
-    public Optional<Long> offerChanges(List<ConfigChange> changes) {
+    public Optional<Long> applyChanges(List<ConfigChange> changes) {
         List<ConfigChange> applied = new ArrayList<>();
         Optional<Long> gap = Optional.empty();
         synchronized (this) {
             long version = current.version();
             for (ConfigChange change : sorted(changes)) {
                 if (change.version() <= version) {
-                    staleOffers++;
+                    ignoredVersions++;
                     continue;
                 }
                 if (change.version() != version + 1) {
@@ -111,7 +111,7 @@
 
     private boolean isStale(long version) {
         if (version <= current.version()) {
-            staleOffers++;
+            ignoredVersions++;
             return true;
         }
         return false;
--- a/core/src/main/java/org/streamring/kernel/ledger/LeaseLedger.java
+++ b/core/src/main/java/org/streamring/kernel/ledger/LeaseLedger.java
@@ -168,7 +168,7 @@
     /**
      * Returns whether a plan is open, a request waits for a lease, or changes of the recorded sidecars must be written.
      */
-    public synchronized boolean wantsPlanSoon() {
+    public synchronized boolean needsPlanSoon() {
         boolean waiting = recentlyUsedBudgets().anyMatch(BudgetLeases::hasShortfall);
         return pending != null || waiting || peers.hasChanges();
     }
@@ -354,7 +354,7 @@
      * Returns the budgets whose remaining tokens should be read before the next plan. A check costs one read, whereas a
      * rejected attempt costs a transaction.
      */
-    public synchronized List<String> budgetsToLookAt(long nowMillis) {
+    public synchronized List<String> budgetsToRead(long nowMillis) {
         if (pending != null || fenced || entryRowVersion == 0 || !isDue(nowMillis)) {
             return List.of();
         }
@@ -365,7 +365,7 @@
     }
 
     /** Notes the remaining tokens of a budget read before a plan. */
-    public synchronized void lookedAt(String budget, long remaining, long nowMillis) {
+    public synchronized void remainingRead(String budget, long remaining, long nowMillis) {
         BudgetLeases leases = budgets.get(budget);
         if (leases != null) {
             leases.noteRemainingRead(remaining, nowMillis);
--- a/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
+++ b/core/src/main/java/org/streamring/kernel/permit/LimitedBackends.java
@@ -144,7 +144,7 @@
     }
 
     /** Returns whether a request may be placed at a server now: it announces no limit, or a permit is available. */
-    public boolean takes(String incarnation, long nowMillis) {
+    public boolean mayBePlaced(String incarnation, long nowMillis) {
         Limited state = limited.get(incarnation);
         return state == null || state.firstUsable(nowMillis) != null;
     }
@@ -250,7 +250,7 @@
      * Returns the time until a request may be placed at a server, by the owner's last answer, in milliseconds; 0 if it
      * may be placed now.
      */
-    public long turnMillis(String incarnation, long nowMillis) {
+    public long millisUntilPlaceable(String incarnation, long nowMillis) {
         Limited state = limited.get(incarnation);
         if (state == null || state.firstUsable(nowMillis) != null) {
             return 0;
--- a/core/src/main/java/org/streamring/kernel/permit/PermitCoordinator.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitCoordinator.java
@@ -88,7 +88,7 @@
         } else {
             long number = nextNumber++;
             pendingRequests.put(number, new PendingRequest(ask, owner.get(), askedMillis, nowMillis));
-            link.ask(owner.get(), number, ask);
+            link.sendRequest(owner.get(), number, ask);
         }
     }
 
@@ -109,10 +109,10 @@
     }
 
     /** Answers a permit request of another entry, and records the limit in it. */
-    public PermitGrant asked(String sender, PermitAsk ask, long now) {
+    public PermitGrant answerRequest(String sender, PermitAsk ask, long now) {
         nowMillis = now;
         PermitGrant grant = issue(ask);
-        recordIfInForce(ask.news(), sender);
+        recordIfInForce(ask.update(), sender);
         return grant;
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** Records a limit update from another entry. */
-    public void told(String sender, LimitNews update, long now) {
+    public void applyUpdate(String sender, LimitNews update, long now) {
         nowMillis = now;
         issuer.apply(update, now);
         recordIfInForce(update, sender);
@@ -158,7 +158,7 @@
     /**
      * Sends permit requests that timed out to the next owner; to be called {@link #TIMEOUT_MILLIS} after each request.
      */
-    public void goOnWithUnanswered(long now) {
+    public void retryTimedOut(long now) {
         nowMillis = now;
         for (Map.Entry<Long, PendingRequest> each : List.copyOf(pendingRequests.entrySet())) {
             PendingRequest pending = each.getValue();
@@ -170,9 +170,9 @@
         }
     }
 
-    /** Returns the used fraction of each limit whose permits this entry issues; see {@link PermitIssuer#takeUse}. */
-    public List<Double> takeUse(long sinceMillis, long now) {
-        return issuer.takeUse(sinceMillis, now);
+    /** Returns the used fraction of each limit whose permits this entry issues; see {@link PermitIssuer#takeUsage}. */
+    public List<Double> takeUsage(long sinceMillis, long now) {
+        return issuer.takeUsage(sinceMillis, now);
     }
 
     /** Removes servers that are no longer listed. */
@@ -195,7 +195,7 @@
         owners.ownersOf(update.incarnation()).stream()
                 .filter(each -> !each.equals(ownName))
                 .filter(connected::contains)
-                .forEach(each -> link.tell(each, update));
+                .forEach(each -> link.sendUpdate(each, update));
     }
 
     private final class OwnerReporter implements LimitEvents {
--- a/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
+++ b/core/src/main/java/org/streamring/kernel/permit/PermitIssuer.java
@@ -99,7 +99,7 @@
      * @param share share of the limit that this entry may issue, greater than 0
      */
     public PermitGrant answer(PermitAsk ask, double share, long nowMillis) {
-        IssueRate rate = rate(ask.news(), nowMillis);
+        IssueRate rate = rate(ask.update(), nowMillis);
         double interval = MILLIS_PER_SECOND / (rate.perSecond() * share);
         rate.nextMillis = Math.min(rate.nextMillis, nowMillis + interval);
         return nowMillis < rate.nextMillis ? queue(rate, interval, nowMillis) : issue(rate, ask, interval, nowMillis);
@@ -136,7 +136,7 @@
      *
      * @param sinceMillis time of the last call
      */
-    public List<Double> takeUse(long sinceMillis, long nowMillis) {
+    public List<Double> takeUsage(long sinceMillis, long nowMillis) {
         List<Double> fractions = new ArrayList<>();
         for (IssueRate rate : ratesByIncarnation.values()) {
             if (rate.lastRequestMillis >= sinceMillis && rate.announced.hasLimit()) {
--- a/core/src/main/java/org/streamring/kernel/placement/ColdReplicas.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ColdReplicas.java
@@ -50,7 +50,7 @@
      *
      * @param remainingMillis time for which the replica stays cold; ignored unless positive
      */
-    public void heard(String replica, long remainingMillis, long nowMillis) {
+    public void recordCold(String replica, long remainingMillis, long nowMillis) {
         if (remainingMillis > 0) {
             coldUntil.merge(replica, nowMillis + remainingMillis, Math::max);
         }
@@ -62,8 +62,8 @@
     }
 
     /** Returns whether this entry may send a replica one more request now; always true for a warm replica. */
-    public boolean takes(String replica, ColdLimit limit, long nowMillis) {
-        if (!limit.binds() || !isCold(replica, nowMillis)) {
+    public boolean mayPlace(String replica, ColdLimit limit, long nowMillis) {
+        if (!limit.isLimited() || !isCold(replica, nowMillis)) {
             return true;
         }
         return owns(replica) && placedSince(replica, nowMillis - WINDOW_MILLIS) < requestsPerOwner(limit);
@@ -85,7 +85,7 @@
 
     /** Returns the number of requests that one owner may place within {@link #WINDOW_MILLIS}. */
     static int requestsPerOwner(ColdLimit limit) {
-        int peak = (int) (limit.mostInSecond() / MAX_OWNERS);
+        int peak = (int) (limit.maxInOneSecond() / MAX_OWNERS);
         int sustained = Math.max(1, (int) (limit.perSecond() / OWNERS));
         return Math.min(peak, sustained);
     }
--- a/core/src/main/java/org/streamring/kernel/placement/PeerLoad.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PeerLoad.java
@@ -24,7 +24,7 @@
     private record ReportedShare(ReplicaShare share, long reportedMillis) {
         /** Returns the unread tokens, assuming that the replica has processed prompts since the report. */
         double unreadTokens(long nowMillis, double tokensPerMilli) {
-            return Math.max(0, share.unreadTokens() - (nowMillis - reportedMillis) * tokensPerMilli);
+            return Math.max(0, share.pendingPromptTokens() - (nowMillis - reportedMillis) * tokensPerMilli);
         }
     }
 
@@ -82,7 +82,7 @@
             running += each.share().running();
             weightOfStreams += each.share().weightOfStreams();
             recentPauses += each.share().recentPauses();
-            if (each.share().unreadTokens() > 0) {
+            if (each.share().pendingPromptTokens() > 0) {
                 withUnread.add(each);
             }
         }
--- a/core/src/main/java/org/streamring/kernel/placement/PlacedPrompt.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacedPrompt.java
@@ -28,7 +28,7 @@
         this.replica = replica;
         this.speed = speed;
         this.forecast = forecast;
-        this.tokensToRead = forecast.tokensToRead();
+        this.tokensToRead = forecast.uncachedTokens();
         this.noPromptAhead = noPromptAhead;
         this.weight = weight;
         this.pauseMillis = pauseMillis;
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementForecast.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementForecast.java
@@ -3,10 +3,11 @@
 /**
  * Forecast for a request at the replica that was chosen for it.
  *
- * @param tokensToRead tokens of the prompt that are not in the cache of the replica
- * @param unreadTokens prompt tokens of earlier requests that the replica has to process first
+ * @param uncachedTokens tokens of the prompt that are not in the cache of the replica
+ * @param pendingPromptTokens prompt tokens of earlier requests that the replica has to process first
  * @param firstEventMillis time from the placement to the first event
  * @param pauseProbability probability that a pause makes the stream late, not yet corrected by
  *     {@link PauseCalibration}
  */
-public record PlacementForecast(long tokensToRead, long unreadTokens, long firstEventMillis, double pauseProbability) {}
+public record PlacementForecast(
+        long uncachedTokens, long pendingPromptTokens, long firstEventMillis, double pauseProbability) {}
--- a/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
+++ b/core/src/main/java/org/streamring/kernel/placement/PlacementTable.java
@@ -86,9 +86,9 @@
         PlacementCost cost = cost(service, List.of(instance), nowMillis);
         PlacementForecast forecast = cost.forecast(query, replica, slotsOf(service, instance));
         if (service.isEngine()) {
-            replica.recordPause(cost.pauseAdded(query, replica, forecast.tokensToRead()), nowMillis);
+            replica.recordPause(cost.pauseAdded(query, replica, forecast.uncachedTokens()), nowMillis);
             unreportedPrompts.add(
-                    instance.id(), query.prompt(), cost.readingMillis(replica, (double) forecast.tokensToRead()));
+                    instance.id(), query.prompt(), cost.readingMillis(replica, (double) forecast.uncachedTokens()));
         }
         double weight = service.isEngine() ? PlacementCost.weight(query) : 0;
         return replica.started(query, speed(service), forecast, weight, cacheTokens(service.memoryTokens()), nowMillis);
@@ -117,7 +117,7 @@
      * @param entry identifier of the process of that entry
      * @param memoryOf memory of a replica in tokens, by its identifier; 0 if it is unknown
      */
-    public void reported(String entry, PlacementReport report, ToLongFunction<String> memoryOf, long nowMillis) {
+    public void applyReport(String entry, PlacementReport report, ToLongFunction<String> memoryOf, long nowMillis) {
         forget(entry);
         report.shares().forEach((id, share) -> state(id).setPeerShare(entry, share, nowMillis));
         report.prompts().forEach(prompt -> state(prompt.replica())
--- a/core/src/main/java/org/streamring/kernel/placement/ReplicaState.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReplicaState.java
@@ -36,9 +36,9 @@
             long memoryTokens,
             long nowMillis) {
         Prompt prompt = query.prompt();
-        boolean noPromptAhead = forecast.unreadTokens() == 0;
+        boolean noPromptAhead = forecast.pendingPromptTokens() == 0;
         running++;
-        unreadTokens += forecast.tokensToRead();
+        unreadTokens += forecast.uncachedTokens();
         weightOfStreams += weight;
         cachedParts.add(prompt.parts(), memoryTokens);
         return new PlacedPrompt(this, speed, forecast, noPromptAhead, weight, query.pauseMillis(), nowMillis);
--- a/core/src/main/java/org/streamring/kernel/placement/ReportPace.java
+++ b/core/src/main/java/org/streamring/kernel/placement/ReportPace.java
@@ -32,7 +32,7 @@
     }
 
     /** Records a report, early or regular, with its total number of bytes to all recipients. */
-    public void told(long bytes, long nowMillis) {
+    public void recordReport(long bytes, long nowMillis) {
         OptionalLong rate = bytesPerSecond.get();
         double linkMillis = rate.isEmpty() ? 0 : bytes * MILLIS_PER_SECOND / (rate.getAsLong() * MAX_LINK_FRACTION);
         nextReportMillis = Math.max(nextReportMillis, (double) nowMillis) + linkMillis;
--- a/core/src/main/java/org/streamring/kernel/prepaid/AccountLease.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/AccountLease.java
@@ -74,7 +74,7 @@
     long usableWithRecord(long recorded, StoreSilence sinceConfirmedWrite) {
         return Math.min(
                 usableAfterTimeout(sinceConfirmedWrite),
-                Math.max(usageCap.lowest().atPatience(), recorded));
+                Math.max(usageCap.lowest().atSilenceTimeout(), recorded));
     }
 
     /** Returns the tokens to report to the witnesses, so that tokens are available to requests of the next second. */
@@ -220,13 +220,15 @@
         double largestRequestPart = shape.largestRequestShare()
                 * Math.min((double) largestRequest, target / (double) LARGEST_REQUEST_DIVISOR);
         double untilConfirmed = tokensPerMilli * DEMAND_GROWTH_FACTOR * UNTIL_CONFIRMED_MILLIS + largestRequestPart;
-        double minimumPart = Math.min(neededByDemand, target) * settings.markShare();
+        double minimumPart = Math.min(neededByDemand, target) * settings.minCapShare();
         double atOnce = Math.max(Math.max(untilConfirmed, minimumPart), (double) waiting);
-        double riseByDemand =
-                tokensPerMilli * shape.capGrowthFactor() * settings.patience().toMillis() + largestRequestPart;
+        double riseByDemand = tokensPerMilli
+                        * shape.capGrowthFactor()
+                        * settings.silenceTimeout().toMillis()
+                + largestRequestPart;
         double capRise = Math.max(riseByDemand, target * shape.minCapShare());
         long used = used();
-        long atPatience = used + (long) Math.max(atOnce, capRise);
-        return new Mark(used, used + (long) atOnce, atPatience).atMost(used + target);
+        long atSilenceTimeout = used + (long) Math.max(atOnce, capRise);
+        return new Mark(used, used + (long) atOnce, atSilenceTimeout).atMost(used + target);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableCapRise.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableCapRise.java
@@ -67,7 +67,7 @@
     }
 
     /** Notes that the outcome of the last row sent is unknown. */
-    public void unanswered() {
+    public void outcomeUnknown() {
         uncertain = true;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableRelease.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableRelease.java
@@ -46,7 +46,7 @@
     }
 
     /** Notes that the outcome of the last row sent is unknown. */
-    public void unanswered() {
+    public void outcomeUnknown() {
         uncertain = true;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableUsageCap.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableUsageCap.java
@@ -49,6 +49,6 @@
         return new Mark(
                 Math.min(one.start(), other.start()),
                 Math.min(one.atOnce(), other.atOnce()),
-                Math.min(one.atPatience(), other.atPatience()));
+                Math.min(one.atSilenceTimeout(), other.atSilenceTimeout()));
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/DurableWitnesses.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/DurableWitnesses.java
@@ -54,7 +54,7 @@
     }
 
     /** Notes that the outcome of the last row sent is unknown. */
-    public void unanswered() {
+    public void outcomeUnknown() {
         uncertain = true;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/HomeEntries.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/HomeEntries.java
@@ -61,7 +61,7 @@
      *
      * @param names names of the other live entries
      */
-    public void others(Collection<String> names) {
+    public void updatePeers(Collection<String> names) {
         TreeSet<String> all = new TreeSet<>(names);
         all.add(own);
         if (!entries.equals(List.copyOf(all))) {
--- a/core/src/main/java/org/streamring/kernel/prepaid/Mark.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/Mark.java
@@ -11,9 +11,9 @@
  *
  * @param start tokens used when the write was planned; the line begins there
  * @param atOnce tokens that may be used when the write was sent; at least {@code start}
- * @param atPatience tokens that may be used at the end of the silence timeout; at least {@code atOnce}
+ * @param atSilenceTimeout tokens that may be used at the end of the silence timeout; at least {@code atOnce}
  */
-public record Mark(long start, long atOnce, long atPatience) {
+public record Mark(long start, long atOnce, long atSilenceTimeout) {
     /** Returns a usage cap that does not rise. */
     public static Mark of(long tokens) {
         return new Mark(tokens, tokens, tokens);
@@ -21,7 +21,7 @@
 
     /** Returns this usage cap, reduced to a limit where it exceeds the limit. */
     public Mark atMost(long limit) {
-        return new Mark(Math.min(start, limit), Math.min(atOnce, limit), Math.min(atPatience, limit));
+        return new Mark(Math.min(start, limit), Math.min(atOnce, limit), Math.min(atSilenceTimeout, limit));
     }
 
     /**
@@ -32,7 +32,7 @@
      */
     public long after(long elapsedMillis, long silenceTimeoutMillis) {
         double elapsedPart = Math.max(0, Math.min(1, elapsedMillis / (double) silenceTimeoutMillis));
-        return Math.max(atOnce, start + (long) ((atPatience - start) * elapsedPart));
+        return Math.max(atOnce, start + (long) ((atSilenceTimeout - start) * elapsedPart));
     }
 
     /**
@@ -45,7 +45,7 @@
     public long released(long granted, long elapsedMillis, long silenceTimeoutMillis, long fullReleaseMillis) {
         double elapsedPart =
                 (elapsedMillis - silenceTimeoutMillis) / (double) (fullReleaseMillis - silenceTimeoutMillis);
-        double releasedTokens = Math.max(0, granted - atPatience) * Math.max(0, Math.min(1, elapsedPart));
-        return Math.min(granted, atPatience + (long) releasedTokens);
+        double releasedTokens = Math.max(0, granted - atSilenceTimeout) * Math.max(0, Math.min(1, elapsedPart));
+        return Math.min(granted, atSilenceTimeout + (long) releasedTokens);
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/MarkRow.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/MarkRow.java
@@ -9,17 +9,21 @@
  * @param incarnation incarnation that the caps apply to
  * @param confirmedMillis time, on the clock of the store, at which its last confirmed write was sent, or earlier; its
  *     caps rise from then until the silence timeout
- * @param marks usage caps by account
+ * @param caps usage caps by account
  * @param witnesses incarnations of other entries; after the silence timeout, the incarnation uses no tokens above its
  *     caps that are not recorded at one of them
- * @param coverMillis time since the last confirmed write over which its grants are released evenly; 0 if it may use all
- *     of them after the silence timeout, as processes of older versions do
+ * @param fullReleaseMillis time since the last confirmed write over which its grants are released evenly; 0 if it may
+ *     use all of them after the silence timeout, as processes of older versions do
  */
 public record MarkRow(
-        String incarnation, long confirmedMillis, Map<String, Mark> marks, Set<String> witnesses, long coverMillis) {
+        String incarnation,
+        long confirmedMillis,
+        Map<String, Mark> caps,
+        Set<String> witnesses,
+        long fullReleaseMillis) {
     /** Copies the map and the set. */
     public MarkRow {
-        marks = Map.copyOf(marks);
+        caps = Map.copyOf(caps);
         witnesses = Set.copyOf(witnesses);
     }
 
@@ -30,7 +34,7 @@
      *     later
      * @param silenceTimeoutMillis silence timeout
      */
-    public boolean heldBy(long successorStartMillis, long silenceTimeoutMillis) {
+    public boolean stayedWithinCaps(long successorStartMillis, long silenceTimeoutMillis) {
         return successorStartMillis - confirmedMillis < silenceTimeoutMillis;
     }
 
@@ -40,8 +44,8 @@
      * @param recorded maximum number of tokens recorded at any of its witnesses, all of which answered
      */
     public long usedAtMost(String account, long granted, long recorded) {
-        Mark cap = marks.getOrDefault(account, Mark.of(granted));
-        return Math.min(granted, Math.max(cap.atPatience(), recorded));
+        Mark cap = caps.getOrDefault(account, Mark.of(granted));
+        return Math.min(granted, Math.max(cap.atSilenceTimeout(), recorded));
     }
 
     /**
@@ -53,11 +57,11 @@
      * @param silenceTimeoutMillis silence timeout
      */
     public long releasedAtMost(String account, long granted, long successorStartMillis, long silenceTimeoutMillis) {
-        if (coverMillis <= silenceTimeoutMillis) {
+        if (fullReleaseMillis <= silenceTimeoutMillis) {
             return granted;
         }
-        Mark cap = marks.getOrDefault(account, Mark.of(granted));
-        return cap.released(granted, successorStartMillis - confirmedMillis, silenceTimeoutMillis, coverMillis);
+        Mark cap = caps.getOrDefault(account, Mark.of(granted));
+        return cap.released(granted, successorStartMillis - confirmedMillis, silenceTimeoutMillis, fullReleaseMillis);
     }
 
     /**
@@ -68,7 +72,7 @@
      * @param silenceTimeoutMillis silence timeout
      */
     public long usedAtMost(String account, long granted, long successorStartMillis, long silenceTimeoutMillis) {
-        Mark cap = marks.getOrDefault(account, Mark.of(granted));
+        Mark cap = caps.getOrDefault(account, Mark.of(granted));
         return Math.min(granted, cap.after(successorStartMillis - confirmedMillis, silenceTimeoutMillis));
     }
 }
--- a/core/src/main/java/org/streamring/kernel/prepaid/PrepaidLedger.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/PrepaidLedger.java
@@ -56,12 +56,12 @@
      * @param account account
      * @param row the account's row after the change; empty if it does not change
      * @param granted tokens held by this incarnation after the change
-     * @param mark usage cap after the change
+     * @param cap usage cap after the change
      */
-    public record Proposal(String account, Optional<PrepaidRow> row, long granted, Mark mark) {
+    public record Proposal(String account, Optional<PrepaidRow> row, long granted, Mark cap) {
         /** Returns this proposal; if it does not change the row, one that writes the given row. */
         public Proposal orElseWrite(PrepaidRow other) {
-            return row.isPresent() ? this : new Proposal(account, Optional.of(other), granted, mark);
+            return row.isPresent() ? this : new Proposal(account, Optional.of(other), granted, cap);
         }
     }
 
@@ -92,8 +92,8 @@
      *
      * @param elapsedMillis time since the last confirmed write was sent, or less
      */
-    public void storeSilentFor(long elapsedMillis) {
-        storeSilentFor(elapsedMillis, elapsedMillis);
+    public void setTimeSinceConfirmedWrite(long elapsedMillis) {
+        setTimeSinceConfirmedWrite(elapsedMillis, elapsedMillis);
     }
 
     /**
@@ -102,14 +102,14 @@
      * @param newestMillis time since the newest write that may have taken effect was sent, or less
      * @param confirmedMillis time since the last confirmed write was sent, or less; at least {@code newestMillis}
      */
-    public void storeSilentFor(long newestMillis, long confirmedMillis) {
+    public void setTimeSinceConfirmedWrite(long newestMillis, long confirmedMillis) {
         this.newestMillis = newestMillis;
         this.confirmedMillis = confirmedMillis;
     }
 
     private StoreSilence sinceConfirmedWrite() {
         return new StoreSilence(
-                newestMillis, confirmedMillis, settings.patience().toMillis(), release.releaseMillis());
+                newestMillis, confirmedMillis, settings.silenceTimeout().toMillis(), release.releaseMillis());
     }
 
     /** Returns the time over which leases are released while the store does not confirm writes. */
@@ -123,12 +123,12 @@
     }
 
     /** Returns whether tokens can be used only after a witness has recorded them. */
-    public boolean needsNotes() {
+    public boolean needsUsageRecords() {
         return sinceConfirmedWrite().silenceTimeoutElapsed() && !witnesses.noneNamed();
     }
 
     /** Returns the tokens of the grants to report to the witnesses, by account. */
-    public Map<String, Long> wantedNotes() {
+    public Map<String, Long> tokensToRecord() {
         Map<String, Long> toRecord = new HashMap<>();
         leases.forEach((account, lease) -> {
             if (lease.usableAfterTimeout(sinceConfirmedWrite()) > 0) {
@@ -139,15 +139,15 @@
     }
 
     /** Notes that a witness has recorded tokens, so that they may be used. */
-    public void noted(String witness, Map<String, Long> tokens) {
-        Map<String, Long> noted = recordedByWitness.computeIfAbsent(witness, key -> new HashMap<>());
-        tokens.forEach((account, amount) -> noted.merge(account, amount, Math::max));
+    public void addRecordedByWitness(String witness, Map<String, Long> tokens) {
+        Map<String, Long> recorded = recordedByWitness.computeIfAbsent(witness, key -> new HashMap<>());
+        tokens.forEach((account, amount) -> recorded.merge(account, amount, Math::max));
     }
 
     /** Returns whether tokens would become available if a witness recorded them. */
-    public boolean noteWouldHelp(String account, long tokens) {
+    public boolean recordWouldHelp(String account, long tokens) {
         AccountLease lease = lease(account);
-        return needsNotes() && lease.available(lease.usableAfterTimeout(sinceConfirmedWrite())) >= tokens;
+        return needsUsageRecords() && lease.available(lease.usableAfterTimeout(sinceConfirmedWrite())) >= tokens;
     }
 
     private long usable(String account, AccountLease lease) {
@@ -157,19 +157,19 @@
         if (witnesses.noneNamed()) {
             return lease.usableAfterTimeout(sinceConfirmedWrite());
         }
-        long noted = witnesses.usable().stream()
+        long recorded = witnesses.usable().stream()
                 .map(witness -> recordedByWitness.getOrDefault(witness, Map.of()))
                 .mapToLong(notes -> notes.getOrDefault(account, 0L))
                 .max()
                 .orElse(0);
-        return lease.usableWithRecord(noted, sinceConfirmedWrite());
+        return lease.usableWithRecord(recorded, sinceConfirmedWrite());
     }
 
     /**
      * Reduces leases to the tokens that are used or waited for from now on, because this entry accepts no more
      * requests.
      */
-    public void stopTaking() {
+    public void releaseUnused() {
         shrinking = true;
     }
 
@@ -221,7 +221,7 @@
      * @param kept tokens to keep
      * @return tokens that are no longer available here
      */
-    public long giveUpIdle(String account, long kept) {
+    public long takeIdleForReturn(String account, long kept) {
         AccountLease lease = lease(account);
         long idle = Math.min(-lease.used(), lease.available(usable(account, lease))) - kept;
         if (idle <= 0 || lease.waiting() > 0) {
@@ -237,7 +237,7 @@
      * @param limit limit of the account
      * @param entries number of live entries
      */
-    public static long kept(long limit, int entries) {
+    public static long idleAllowance(long limit, int entries) {
         return Math.min(MAX_KEPT_TOKENS, limit / KEPT_LIMIT_DIVISOR / Math.max(1, entries));
     }
 
@@ -306,7 +306,7 @@
      *
      * @param row the row as last read, with the current limit
      */
-    public Proposal planBorrower(String account, PrepaidRow row) {
+    public Proposal planNonHome(String account, PrepaidRow row) {
         AccountLease lease = lease(account);
         long held = grantedIn(row);
         long used = lease.used();
@@ -338,23 +338,23 @@
      * @return the row without the holding of the predecessor; empty if it has none
      */
     public Optional<PrepaidRow> reclaim(String account, PrepaidRow row, MarkRow marks, long startMillis) {
-        long patience = settings.patience().toMillis();
+        long silenceTimeout = settings.silenceTimeout().toMillis();
         return row.holding(marks.incarnation())
-                .map(holding -> marks.usedAtMost(account, holding.granted(), startMillis, patience))
+                .map(holding -> marks.usedAtMost(account, holding.granted(), startMillis, silenceTimeout))
                 .map(used -> row.withClosed(marks.incarnation(), used));
     }
 
     /**
      * Plans to reclaim the unused tokens of a predecessor on this box that reached its silence timeout.
      *
-     * @param noted maximum number of tokens recorded at any witness, by account; all witnesses of the predecessor
+     * @param recorded maximum number of tokens recorded at any witness, by account; all witnesses of the predecessor
      *     answered
      * @return the row without the holding of the predecessor; empty if it has none
      */
-    public static Optional<PrepaidRow> reclaimNoted(
-            String account, PrepaidRow row, MarkRow marks, Map<String, Long> noted) {
+    public static Optional<PrepaidRow> reclaimUnrecorded(
+            String account, PrepaidRow row, MarkRow marks, Map<String, Long> recorded) {
         return row.holding(marks.incarnation())
-                .map(holding -> marks.usedAtMost(account, holding.granted(), noted.getOrDefault(account, 0L)))
+                .map(holding -> marks.usedAtMost(account, holding.granted(), recorded.getOrDefault(account, 0L)))
                 .map(used -> row.withClosed(marks.incarnation(), used));
     }
 
@@ -367,22 +367,22 @@
      * @param startMillis time, on the clock of the store, at which this incarnation started, or later
      * @return the row without the holding of the predecessor; empty if it has none or may have used all of it
      */
-    public Optional<PrepaidRow> reclaimReleased(String account, PrepaidRow row, MarkRow marks, long startMillis) {
+    public Optional<PrepaidRow> reclaimUnreleased(String account, PrepaidRow row, MarkRow marks, long startMillis) {
         Optional<Holding> holding = row.holding(marks.incarnation());
         long granted = holding.map(Holding::granted).orElse(0L);
         long used = marks.releasedAtMost(
-                account, granted, startMillis, settings.patience().toMillis());
+                account, granted, startMillis, settings.silenceTimeout().toMillis());
         return used < granted ? Optional.of(row.withClosed(marks.incarnation(), used)) : Optional.empty();
     }
 
     /** Notes that a write was sent. */
     public void proposed(Proposal proposal) {
-        lease(proposal.account()).proposed(proposal.granted(), proposal.mark());
+        lease(proposal.account()).proposed(proposal.granted(), proposal.cap());
     }
 
     /** Notes that a write took effect. */
     public void confirmed(Proposal proposal) {
-        lease(proposal.account()).confirmed(proposal.granted(), proposal.mark());
+        lease(proposal.account()).confirmed(proposal.granted(), proposal.cap());
     }
 
     /** Notes that a write did not take effect and never will. */
@@ -391,7 +391,7 @@
     }
 
     /** Notes that it is unknown whether a write took effect or will still do so. */
-    public void unanswered(Proposal proposal) {
+    public void outcomeUnknown(Proposal proposal) {
         lease(proposal.account()).unanswered(proposal.row().isPresent());
     }
 
--- a/core/src/main/java/org/streamring/kernel/prepaid/WitnessRecords.java
+++ b/core/src/main/java/org/streamring/kernel/prepaid/WitnessRecords.java
@@ -28,7 +28,7 @@
      * @return false if its successor has already requested the records or the maximum number of incarnations is
      *     reached; the tokens must not be used then
      */
-    public boolean note(String incarnation, Map<String, Long> tokens) {
+    public boolean add(String incarnation, Map<String, Long> tokens) {
         boolean full = !records.containsKey(incarnation) && records.size() >= MAX_INCARNATIONS;
         if (closed.contains(incarnation) || full) {
             return false;
--- a/core/src/main/java/org/streamring/kernel/receipt/ReceiptStore.java
+++ b/core/src/main/java/org/streamring/kernel/receipt/ReceiptStore.java
@@ -35,7 +35,7 @@
     private final Set<String> barredAttempts = new HashSet<>();
     private int running;
     private long keptBytes;
-    private boolean leaving;
+    private boolean shuttingDown;
 
     private static final class RequestState {
         private final String attempt;
@@ -78,11 +78,11 @@
         if (recorded != null) {
             return decideOnRecorded(order, recorded);
         }
-        if (leaving) {
+        if (shuttingDown) {
             return refuse(order, RefusalReason.LEAVING, nowMillis);
         }
         boolean noCapacity = running >= RankLimit.of(settings.maxRunning(), order.rank())
-                || requests.size() >= settings.maxRemembered();
+                || requests.size() >= settings.maxRecordedRequests();
         if (noCapacity) {
             return refuse(order, RefusalReason.OVERLOAD, nowMillis);
         }
@@ -131,7 +131,7 @@
      * Ends a repeatable attempt that failed through no fault of its caller. No tokens are charged, and the request may
      * run again.
      */
-    public synchronized void brokeOff(AttemptOrder order, long nowMillis) {
+    public synchronized void endWithoutCharge(AttemptOrder order, long nowMillis) {
         end(order, Usage.NONE, 0, nowMillis);
         requests.remove(order.requestKey());
     }
@@ -184,7 +184,7 @@
     }
 
     /** Withdraws an admitted order that was not forwarded, for example because its backend server was unreachable. */
-    public synchronized void notForwarded(AttemptOrder order, long nowMillis) {
+    public synchronized void withdraw(AttemptOrder order, long nowMillis) {
         Receipt receipt = receipts.get(order.attempt());
         if (receipt == null || receipt.ended()) {
             return;
@@ -217,7 +217,7 @@
      * Returns the receipts of single attempts. An attempt without a receipt has not run here. It is barred, so that an
      * order that is still unread in a broken connection does not run after this answer was given.
      */
-    public synchronized List<Receipt> receiptsFor(Collection<String> attempts) {
+    public synchronized List<Receipt> queryOrBar(Collection<String> attempts) {
         List<Receipt> found = new ArrayList<>();
         for (String attempt : attempts) {
             Receipt receipt = receipts.get(attempt);
@@ -231,24 +231,24 @@
     }
 
     /** Removes the receipts of ended attempts whose leases are settled in the table. */
-    public synchronized void forgetLeases(Collection<String> leaseIds) {
+    public synchronized void removeSettledReceipts(Collection<String> leaseIds) {
         Set<String> settled = new HashSet<>(leaseIds);
         receipts.values().removeIf(receipt -> receipt.ended() && settled.contains(receipt.leaseId()));
     }
 
     /** Refuses new attempts from now on, because the backend server is shutting down. */
-    public synchronized void leave() {
-        leaving = true;
+    public synchronized void refuseNewAttempts() {
+        shuttingDown = true;
     }
 
     /** Accepts new attempts again after an operator has revoked the shutdown. */
-    public synchronized void stay() {
-        leaving = false;
+    public synchronized void acceptNewAttempts() {
+        shuttingDown = false;
     }
 
     /** Returns whether new attempts are refused because the backend server is shutting down. */
-    public synchronized boolean isLeaving() {
-        return leaving;
+    public synchronized boolean isShuttingDown() {
+        return shuttingDown;
     }
 
     /** Returns the number of attempts in progress. */
@@ -288,7 +288,7 @@
                 request.phase = Phase.RAN;
                 dropped.add(request.attempt);
             }
-            boolean onceRetentionOver = age > settings.onceRetention().toMillis();
+            boolean onceRetentionOver = age > settings.nonRepeatableRetention().toMillis();
             boolean answerRetentionOver =
                     request.repeatable && age > settings.answerRetention().toMillis();
             if (request.phase != Phase.KEPT && (onceRetentionOver || answerRetentionOver)) {
--- a/core/src/main/java/org/streamring/kernel/recovery/HeldResolver.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/HeldResolver.java
@@ -51,7 +51,7 @@
      * @param billed attempts that were already billed and are not billed again, such as one that was sent to two
      *     sidecars
      */
-    public Resolution onAnswer(Row heldRow, PeerReceipts answer, Set<String> billed, long nowMillis) {
+    public Resolution settleWithReceipts(Row heldRow, PeerReceipts answer, Set<String> billed, long nowMillis) {
         HeldRecord record = RowText.read(heldRow.text(), HeldRecord.class);
         List<BillItem> items = answer.receipts().stream()
                 .filter(receipt -> receipt.leaseId().equals(record.leaseId()))
@@ -80,7 +80,7 @@
      *
      * @param spent number of held tokens that count as spent; the others are returned to the budget
      */
-    public List<RowOperation> onDecision(Row heldRow, long spent) {
+    public List<RowOperation> settleByDecision(Row heldRow, long spent) {
         HeldRecord record = RowText.read(heldRow.text(), HeldRecord.class);
         List<RowOperation> operations = new ArrayList<>();
         operations.add(new Delete(heldRow.key(), heldRow.version()));
--- a/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
+++ b/core/src/main/java/org/streamring/kernel/recovery/LeaseCloser.java
@@ -90,14 +90,14 @@
      *
      * @param peers sidecars that may hold receipts
      * @param answers final answers of the sidecars that answered
-     * @param known items that the holder wrote before it died and that are not settled yet
+     * @param unsettledItems items that the holder wrote before it died and that are not settled yet
      */
-    public record CollectedReceipts(List<String> peers, List<PeerReceipts> answers, List<BillItem> known) {
+    public record CollectedReceipts(List<String> peers, List<PeerReceipts> answers, List<BillItem> unsettledItems) {
         /** Creates findings with copies of the lists. */
         public CollectedReceipts {
             peers = List.copyOf(peers);
             answers = List.copyOf(answers);
-            known = List.copyOf(known);
+            unsettledItems = List.copyOf(unsettledItems);
         }
 
         private List<String> silent() {
@@ -150,7 +150,7 @@
 
     private static Map<String, BillItem> itemsOf(String leaseId, CollectedReceipts collected, long nowMillis) {
         Map<String, BillItem> items = new HashMap<>();
-        collected.known().stream()
+        collected.unsettledItems().stream()
                 .filter(item -> item.lease().equals(leaseId))
                 .forEach(item -> items.put(item.attempt(), item));
         for (PeerReceipts answer : collected.answers()) {
--- a/core/src/main/java/org/streamring/kernel/registry/BackendInstance.java
+++ b/core/src/main/java/org/streamring/kernel/registry/BackendInstance.java
@@ -11,7 +11,7 @@
  * @param slots number of requests that the server runs concurrently
  * @param ready whether the server accepts new requests; false while it is shutting down
  * @param coldMillis remaining warm-up time of a cold server when it wrote the row, in milliseconds; 0 if it is warm
- * @param bornMillis start time of its process, in milliseconds of its own wall clock; 0 if not given
+ * @param startedMillis start time of its process, in milliseconds of its own wall clock; 0 if not given
  */
 public record BackendInstance(
         String id,
@@ -22,10 +22,10 @@
         int slots,
         boolean ready,
         long coldMillis,
-        long bornMillis) {
+        long startedMillis) {
 
     /** Returns the name of this process; a process that restarts under the same identifier is another incarnation. */
     public String incarnation() {
-        return id + "@" + bornMillis;
+        return id + "@" + startedMillis;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/registry/BackendRegistry.java
+++ b/core/src/main/java/org/streamring/kernel/registry/BackendRegistry.java
@@ -38,12 +38,12 @@
     }
 
     /** Records that the list cannot be read. */
-    public void listLost() {
+    public void setListUnavailable() {
         listUnavailable = true;
     }
 
     /** Records that the list can be read again. */
-    public void listBack(long nowMillis) {
+    public void listRestored(long nowMillis) {
         if (listUnavailable) {
             listUnavailable = false;
             listRestoredMillis = nowMillis;
@@ -65,7 +65,7 @@
         if (instance == null) {
             return;
         }
-        if (leaves(instance) || !isAroundOutage(nowMillis)) {
+        if (isShuttingDown(instance) || !isAroundOutage(nowMillis)) {
             delete(id);
         } else {
             lapsedUntil.put(id, listRestoredMillis + keepLapsedMillis);
@@ -116,13 +116,13 @@
     }
 
     /** Returns whether a server is shutting down. */
-    public boolean leaves(BackendInstance instance) {
-        return availability.isLeaving(instance.incarnation());
+    public boolean isShuttingDown(BackendInstance instance) {
+        return availability.isShuttingDown(instance.incarnation());
     }
 
     /** Returns whether a server is not shutting down and its failure domain is not evacuated. */
-    public boolean stays(BackendInstance instance) {
-        return isOpen(instance) && !leaves(instance);
+    public boolean isOpenAndRunning(BackendInstance instance) {
+        return isOpen(instance) && !isShuttingDown(instance);
     }
 
     private boolean isOpen(BackendInstance instance) {
--- a/core/src/main/java/org/streamring/kernel/routing/PrefixIndex.java
+++ b/core/src/main/java/org/streamring/kernel/routing/PrefixIndex.java
@@ -29,7 +29,7 @@
             };
 
     /** Records that a prompt is sent to a replica. */
-    public synchronized void placed(PromptPrefix prefix, String server) {
+    public synchronized void recordPlacement(PromptPrefix prefix, String server) {
         for (PromptPrefix.PrefixHash prefixHash : prefix.prefixHashes()) {
             List<String> newestFirst = new ArrayList<>(replicasByPrefix.getOrDefault(prefixHash, List.of()));
             newestFirst.remove(server);
@@ -44,7 +44,7 @@
      * Returns, for each replica that received a prompt with the same prefix, the share of the prompt that it may have
      * cached.
      */
-    public synchronized Map<String, Double> shares(PromptPrefix prefix) {
+    public synchronized Map<String, Double> cachedShares(PromptPrefix prefix) {
         Map<String, Double> shares = new HashMap<>();
         for (PromptPrefix.PrefixHash prefixHash : prefix.prefixHashes()) {
             double share = prefixHash.bytes() / (double) prefix.bytes();
--- a/core/src/main/java/org/streamring/kernel/routing/ReplicaSelector.java
+++ b/core/src/main/java/org/streamring/kernel/routing/ReplicaSelector.java
@@ -84,7 +84,7 @@
     /** Chooses the best of a few replicas picked at random and of those that may have a prefix of the prompt cached. */
     private Optional<Candidate> adaptive(
             List<Candidate> eligible, PromptPrefix prefix, ToDoubleFunction<Candidate> score) {
-        Map<String, Double> cached = prefixes.shares(prefix);
+        Map<String, Double> cached = prefixes.cachedShares(prefix);
         Set<Candidate> considered = new LinkedHashSet<>(sample(eligible, ADAPTIVE_SAMPLE_SIZE));
         eligible.stream()
                 .filter(candidate -> cached.containsKey(candidate.server().name()))
@@ -94,7 +94,8 @@
                 candidate -> score.applyAsDouble(candidate)
                         - CACHED_PROMPT_BONUS
                                 * cached.getOrDefault(candidate.server().name(), 0.0));
-        chosen.ifPresent(candidate -> prefixes.placed(prefix, candidate.server().name()));
+        chosen.ifPresent(
+                candidate -> prefixes.recordPlacement(prefix, candidate.server().name()));
         return chosen;
     }
 
--- a/core/src/main/java/org/streamring/kernel/routing/ReplicaTable.java
+++ b/core/src/main/java/org/streamring/kernel/routing/ReplicaTable.java
@@ -22,7 +22,7 @@
     private Set<String> stoppedByOperator = Set.of();
 
     /** Replaces the subset. The recorded state of replicas that remain in it is kept. */
-    public synchronized void relist(Collection<BackendServer> subset) {
+    public synchronized void updateSubset(Collection<BackendServer> subset) {
         Map<String, BackendServer> byName =
                 subset.stream().collect(Collectors.toMap(BackendServer::name, server -> server, (a, b) -> b));
         replicas.keySet().retainAll(byName.keySet());
@@ -63,7 +63,7 @@
     }
 
     /** Records the time that a replica took for a unit of work: a token of a stream, or a call of a plain service. */
-    public synchronized void paced(String name, double millisPerUnit, long nowMillis) {
+    public synchronized void recordServiceTime(String name, double millisPerUnit, long nowMillis) {
         find(name).ifPresent(replica -> replica.serviceTime().add(millisPerUnit, nowMillis));
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Returns all replicas in the subset. */
-    public synchronized List<BackendServer> listed() {
+    public synchronized List<BackendServer> backendServers() {
         return replicas.values().stream().map(Replica::server).toList();
     }
 }
--- a/core/src/main/java/org/streamring/kernel/store/RowPage.java
+++ b/core/src/main/java/org/streamring/kernel/store/RowPage.java
@@ -8,9 +8,9 @@
  * @param rows the rows
  * @param version latest version of the store at the time of the read
  * @param storeMillis time of the answer by the store's monotonic clock, in milliseconds
- * @param historyLost whether changes are missing, so that all rows have to be listed again
+ * @param changesMissing whether changes are missing, so that all rows have to be listed again
  */
-public record RowPage(List<StoredRow> rows, long version, long storeMillis, boolean historyLost) {
+public record RowPage(List<StoredRow> rows, long version, long storeMillis, boolean changesMissing) {
     /** Creates a page with a copy of the list. */
     public RowPage {
         rows = List.copyOf(rows);
--- a/core/src/main/java/org/streamring/kernel/store/StoreException.java
+++ b/core/src/main/java/org/streamring/kernel/store/StoreException.java
@@ -4,22 +4,22 @@
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final boolean nothingDone;
+    private final boolean hasNoEffect;
 
     /**
      * Creates an exception.
      *
      * @param step operation that failed, and the peer that was called
      * @param reason cause of the failure
-     * @param nothingDone whether the call certainly had no effect and will not take effect later
+     * @param hasNoEffect whether the call certainly had no effect and will not take effect later
      */
-    public StoreException(String step, String reason, boolean nothingDone) {
+    public StoreException(String step, String reason, boolean hasNoEffect) {
         super(step + ": " + reason);
-        this.nothingDone = nothingDone;
+        this.hasNoEffect = hasNoEffect;
     }
 
     /** Returns whether the call certainly had no effect and will not take effect later. */
-    public boolean nothingDone() {
-        return nothingDone;
+    public boolean hasNoEffect() {
+        return hasNoEffect;
     }
 }
--- a/core/src/main/java/org/streamring/kernel/suspect/SuspectTable.java
+++ b/core/src/main/java/org/streamring/kernel/suspect/SuspectTable.java
@@ -130,7 +130,7 @@
     }
 
     /** Merges a report of another entry, or of the previous process on this box. */
-    public void heard(SuspectReport report, long nowMillis) {
+    public void merge(SuspectReport report, long nowMillis) {
         Set<RequestDigest> affected = new HashSet<>(report.cleared().keySet());
         report.cleared()
                 .forEach((request, servers) -> evidence(request, nowMillis).clear(servers));
@@ -151,7 +151,7 @@
     }
 
     /** Returns whether {@link #report} contains changes that are to be sent to the other entries immediately. */
-    public boolean hasNews() {
+    public boolean hasUrgentChanges() {
         return localObservations.isUrgent();
     }
 
@@ -163,7 +163,7 @@
     /** Restores the observations of the previous process on this box, so that they continue to be reported. */
     public void resume(SuspectReport earlier, long nowMillis) {
         localObservations.resume(earlier, nowMillis);
-        heard(earlier, nowMillis);
+        merge(earlier, nowMillis);
     }
 
     /** Removes crashes that are older than the retention period. */
--- a/core/src/test/java/org/streamring/kernel/admission/LinkPaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/LinkPaceTest.java
@@ -22,8 +22,8 @@
 
     @Test
     public void writtenBytesWaitForBytesWrittenEarlier() {
-        backlog.written(Traffic.REQUESTS, LONG_REQUEST_BYTES, 1_000);
-        backlog.written(Traffic.REQUESTS, LONG_REQUEST_BYTES, 1_050);
+        backlog.addBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES, 1_000);
+        backlog.addBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES, 1_050);
         assertThat(backlog.queuedMillis(1_050)).isEqualTo(150);
         assertThat(backlog.queuedMillis(1_200)).isZero();
     }
@@ -31,24 +31,24 @@
     @Test
     public void requestsAreDelayedUntilTheQueueIsShort() {
         for (int i = 0; i < 4; i++) {
-            assertThat(backlog.closedMillis(LONG_REQUEST_BYTES, 0)).isEqualTo(i < 3 ? 0 : 50);
-            backlog.written(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
+            assertThat(backlog.delayMillis(LONG_REQUEST_BYTES, 0)).isEqualTo(i < 3 ? 0 : 50);
+            backlog.addBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
         }
-        assertThat(backlog.closedMillis(LONG_REQUEST_BYTES, 149)).isPositive();
-        assertThat(backlog.closedMillis(LONG_REQUEST_BYTES, 150)).isZero();
+        assertThat(backlog.delayMillis(LONG_REQUEST_BYTES, 149)).isPositive();
+        assertThat(backlog.delayMillis(LONG_REQUEST_BYTES, 150)).isZero();
     }
 
     @Test
     public void aRequestOfOnePacketIsNeverDelayed() {
-        backlog.written(Traffic.REQUESTS, 100 * LONG_REQUEST_BYTES, 0);
-        assertThat(backlog.closedMillis(LinkBacklog.PACKET_BYTES, 0)).isZero();
+        backlog.addBytes(Traffic.REQUESTS, 100 * LONG_REQUEST_BYTES, 0);
+        assertThat(backlog.delayMillis(LinkBacklog.PACKET_BYTES, 0)).isZero();
     }
 
     @Test
     public void bytesThatWereNotWrittenDoNotCount() {
-        backlog.written(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
-        backlog.written(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
-        backlog.notWritten(Traffic.REQUESTS, LONG_REQUEST_BYTES);
+        backlog.addBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
+        backlog.addBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES, 0);
+        backlog.subtractBytes(Traffic.REQUESTS, LONG_REQUEST_BYTES);
         assertThat(backlog.queuedMillis(0)).isEqualTo(100);
         assertThat(backlog.bytes(Traffic.REQUESTS)).isEqualTo(LONG_REQUEST_BYTES);
     }
@@ -56,7 +56,7 @@
     @Test
     public void requestsAreNotDelayedIfTheLinkRateIsUnknown() {
         LinkBacklog linkOfUnknownRate = new LinkBacklog(OptionalLong::empty);
-        linkOfUnknownRate.written(Traffic.REQUESTS, 100 * LONG_REQUEST_BYTES, 0);
-        assertThat(linkOfUnknownRate.closedMillis(LONG_REQUEST_BYTES, 0)).isZero();
+        linkOfUnknownRate.addBytes(Traffic.REQUESTS, 100 * LONG_REQUEST_BYTES, 0);
+        assertThat(linkOfUnknownRate.delayMillis(LONG_REQUEST_BYTES, 0)).isZero();
     }
 }
--- a/core/src/test/java/org/streamring/kernel/admission/SlotReleaseRateTest.java
+++ b/core/src/test/java/org/streamring/kernel/admission/SlotReleaseRateTest.java
@@ -10,14 +10,14 @@
     @Test
     public void aConstantRateIsMeasuredWithinSeconds() {
         SlotReleaseRate rate = new SlotReleaseRate();
-        LongStream.range(0, 200).map(each -> each * 25).forEach(rate::freed);
+        LongStream.range(0, 200).map(each -> each * 25).forEach(rate::recordRelease);
         assertThat(rate.perMilli(5_000)).isCloseTo(1 / 25.0, within(0.002));
     }
 
     @Test
     public void theRateDecaysAfterReleasesEnd() {
         SlotReleaseRate rate = new SlotReleaseRate();
-        LongStream.range(0, 40).map(each -> each * 25).forEach(rate::freed);
+        LongStream.range(0, 40).map(each -> each * 25).forEach(rate::recordRelease);
         assertThat(rate.perMilli(6_000)).isLessThan(0.001);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/availability/AvailabilitySimulation.java
+++ b/core/src/test/java/org/streamring/kernel/availability/AvailabilitySimulation.java
@@ -99,12 +99,12 @@
         private void place(long arrivedMillis) {
             List<ServerProcess> listed = List.copyOf(rows.values());
             List<ServerProcess> open = listed.stream()
-                    .filter(process -> availability.takes(process.incarnation(), now))
+                    .filter(process -> availability.isAvailable(process.incarnation(), now))
                     .toList();
             boolean asLastResort = open.isEmpty();
             if (asLastResort) {
                 open = listed.stream()
-                        .filter(process -> availability.takesAsLast(process.incarnation(), now))
+                        .filter(process -> availability.isAvailableAsLastResort(process.incarnation(), now))
                         .toList();
             }
             if (open.isEmpty()) {
@@ -168,11 +168,11 @@
         private void receiveAnswer(ServerProcess process, boolean rejected, BackendNotice notice) {
             ReceivedNotices received =
                     receivedNotices.computeIfAbsent(process.incarnation(), key -> new ReceivedNotices());
-            if (notice.leaving() && received.shutdownSince < 0) {
+            if (notice.shuttingDown() && received.shutdownSince < 0) {
                 received.shutdownSince = now;
             }
-            if (notice.restMillis() > 0) {
-                received.backOffUntil = Math.max(received.backOffUntil, now + notice.restMillis());
+            if (notice.backOffMillis() > 0) {
+                received.backOffUntil = Math.max(received.backOffUntil, now + notice.backOffMillis());
             }
             availability.answered(process.incarnation(), rejected, notice, now);
         }
--- a/core/src/test/java/org/streamring/kernel/availability/BackendAvailabilityTest.java
+++ b/core/src/test/java/org/streamring/kernel/availability/BackendAvailabilityTest.java
@@ -25,15 +25,15 @@
 
     @Test
     public void aServerWithoutNoticesTakesRequests() {
-        assertThat(availability.takes(INCARNATION, 0)).isTrue();
+        assertThat(availability.isAvailable(INCARNATION, 0)).isTrue();
         assertThat(availability.mayBeSent(INCARNATION, false, 0)).isTrue();
-        assertThat(availability.takesAsLast(INCARNATION, 0)).isFalse();
+        assertThat(availability.isAvailableAsLastResort(INCARNATION, 0)).isFalse();
     }
 
     @Test
     public void aServerThatIsShuttingDownIsSentNoRequestEvenIfItWasPlacedBefore() {
         receiveAnswer(SHUTTING_DOWN, 1_000);
-        assertThat(availability.takes(INCARNATION, 1_000)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 1_000)).isFalse();
         assertThat(availability.mayBeSent(INCARNATION, false, 1_000)).isFalse();
     }
 
@@ -41,13 +41,13 @@
     public void anAnswerWithoutAShutdownNoticeDoesNotCancelAnEarlierOne() {
         receiveAnswer(SHUTTING_DOWN, 1_000);
         receiveAnswer(BackendNotice.NONE, 1_100);
-        assertThat(availability.takes(INCARNATION, 90_000)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 90_000)).isFalse();
     }
 
     @Test
     public void aShutdownNoticeDoesNotApplyToAnotherIncarnation() {
         receiveAnswer(SHUTTING_DOWN, 1_000);
-        assertThat(availability.takes("i-1@8", 1_000)).isTrue();
+        assertThat(availability.isAvailable("i-1@8", 1_000)).isTrue();
     }
 
     @Test
@@ -55,9 +55,9 @@
         receiveAnswer(SHUTTING_DOWN, 1_000);
         receiveAnswer(SHUTTING_DOWN, 2_400);
         long end = 1_000 + DRAIN_MILLIS - BackendAvailability.SENDING_MARGIN_MILLIS;
-        assertThat(availability.takesAsLast(INCARNATION, end - 1)).isTrue();
+        assertThat(availability.isAvailableAsLastResort(INCARNATION, end - 1)).isTrue();
         assertThat(availability.mayBeSent(INCARNATION, true, end - 1)).isTrue();
-        assertThat(availability.takesAsLast(INCARNATION, end)).isFalse();
+        assertThat(availability.isAvailableAsLastResort(INCARNATION, end)).isFalse();
         assertThat(availability.mayBeSent(INCARNATION, true, end)).isFalse();
     }
 
@@ -66,29 +66,29 @@
         receiveAnswer(SHUTTING_DOWN, 1_000);
         availability.leaving(INCARNATION, NoticeSource.ROW, 1_100);
         receiveAnswer(SHUTTING_DOWN, 1_200);
-        assertThat(availability.takesAsLast(INCARNATION, 1_200)).isFalse();
+        assertThat(availability.isAvailableAsLastResort(INCARNATION, 1_200)).isFalse();
     }
 
     @Test
     public void aServerThatBacksOffIsSentNothingUntilItsLastBackOffEnds() {
         receiveBackOff(3_000, 0);
         receiveBackOff(1_000, 500);
-        assertThat(availability.restLeftMillis(INCARNATION, 500)).isEqualTo(2_500);
-        assertThat(availability.takes(INCARNATION, 2_999)).isFalse();
+        assertThat(availability.remainingBackOffMillis(INCARNATION, 500)).isEqualTo(2_500);
+        assertThat(availability.isAvailable(INCARNATION, 2_999)).isFalse();
         assertThat(availability.mayBeSent(INCARNATION, false, 2_999)).isFalse();
-        assertThat(availability.takes(INCARNATION, 3_000)).isTrue();
+        assertThat(availability.isAvailable(INCARNATION, 3_000)).isTrue();
     }
 
     @Test
     public void afterABackOffOneRequestIsSentUntilTheServerAnswers() {
         receiveBackOff(3_000, 0);
         availability.placed(INCARNATION, 3_000);
-        assertThat(availability.takes(INCARNATION, 3_001)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 3_001)).isFalse();
         assertThat(availability.mayBeSent(INCARNATION, false, 3_001))
                 .as("the probe request")
                 .isTrue();
         receiveAnswer(BackendNotice.NONE, 3_200);
-        assertThat(availability.takes(INCARNATION, 3_200)).isTrue();
+        assertThat(availability.isAvailable(INCARNATION, 3_200)).isTrue();
     }
 
     @Test
@@ -106,7 +106,7 @@
 
     private int placeUntilFull(long nowMillis) {
         int placed = 0;
-        while (placed < MAX_PLACED && availability.takes(INCARNATION, nowMillis)) {
+        while (placed < MAX_PLACED && availability.isAvailable(INCARNATION, nowMillis)) {
             availability.placed(INCARNATION, nowMillis);
             placed++;
         }
@@ -120,14 +120,14 @@
         receiveAnswer(BackendNotice.NONE, 3_100);
         receiveBackOff(1_000, 3_200);
         availability.placed(INCARNATION, 4_200);
-        assertThat(availability.takes(INCARNATION, 4_201)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 4_201)).isFalse();
     }
 
     @Test
     public void aProbeWithoutAnAnswerIsFollowedByAnotherOne() {
         receiveBackOff(3_000, 0);
         availability.placed(INCARNATION, 3_000);
-        assertThat(availability.takes(INCARNATION, 3_000 + BackendAvailability.PROBE_INTERVAL_MILLIS))
+        assertThat(availability.isAvailable(INCARNATION, 3_000 + BackendAvailability.PROBE_INTERVAL_MILLIS))
                 .isTrue();
     }
 
@@ -136,16 +136,16 @@
         receiveBackOff(3_000, 0);
         availability.placed(INCARNATION, 3_000);
         availability.answered(INCARNATION, true, BackendNotice.NONE, 3_100);
-        assertThat(availability.takes(INCARNATION, 3_101)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 3_101)).isFalse();
     }
 
     @Test
     public void anAnswerToAnEarlierRequestDoesNotEndTheBackOff() {
         receiveBackOff(3_000, 0);
         receiveAnswer(BackendNotice.NONE, 1_000);
-        assertThat(availability.takes(INCARNATION, 1_000)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 1_000)).isFalse();
         availability.placed(INCARNATION, 3_000);
-        assertThat(availability.takes(INCARNATION, 3_001)).isFalse();
+        assertThat(availability.isAvailable(INCARNATION, 3_001)).isFalse();
     }
 
     @Test
@@ -165,28 +165,28 @@
     public void aServerThatIsNoLongerListedIsRemovedAfterTheRetentionPeriod() {
         receiveAnswer(SHUTTING_DOWN, 1_000);
         availability.forgetGone(Set.of(INCARNATION), 900_000);
-        assertThat(availability.isLeaving(INCARNATION)).isTrue();
+        assertThat(availability.isShuttingDown(INCARNATION)).isTrue();
         availability.forgetGone(Set.of(), 1_000 + BackendAvailability.RETENTION_MILLIS);
-        assertThat(availability.isLeaving(INCARNATION)).isTrue();
+        assertThat(availability.isShuttingDown(INCARNATION)).isTrue();
         availability.forgetGone(Set.of(), 1_001 + BackendAvailability.RETENTION_MILLIS);
-        assertThat(availability.isLeaving(INCARNATION)).isFalse();
+        assertThat(availability.isShuttingDown(INCARNATION)).isFalse();
     }
 
     @Test
     public void serversThatAreShuttingDownOrBackingOffAreCounted() {
         receiveAnswer(SHUTTING_DOWN, 1_000);
         availability.answered("i-2@1", true, new BackendNotice(false, 500), 1_000);
-        assertThat(availability.leavingCount()).isEqualTo(1);
-        assertThat(availability.restingCount(1_499)).isEqualTo(1);
-        assertThat(availability.restingCount(1_500)).isZero();
+        assertThat(availability.shuttingDownCount()).isEqualTo(1);
+        assertThat(availability.backingOffCount(1_499)).isEqualTo(1);
+        assertThat(availability.backingOffCount(1_500)).isZero();
     }
 
     private void receiveAnswer(BackendNotice notice, long nowMillis) {
         availability.answered(INCARNATION, false, notice, nowMillis);
     }
 
-    private void receiveBackOff(long restMillis, long nowMillis) {
-        availability.answered(INCARNATION, true, new BackendNotice(false, restMillis), nowMillis);
+    private void receiveBackOff(long backOffMillis, long nowMillis) {
+        availability.answered(INCARNATION, true, new BackendNotice(false, backOffMillis), nowMillis);
     }
 
     private final class Recorder implements AvailabilityEvents {
@@ -196,12 +196,12 @@
         }
 
         @Override
-        public void rests(String incarnation, long restMillis) {
-            events.add("rests " + restMillis);
+        public void backOffStarted(String incarnation, long backOffMillis) {
+            events.add("rests " + backOffMillis);
         }
 
         @Override
-        public void rested(String incarnation) {
+        public void backOffEnded(String incarnation) {
             events.add("rested");
         }
     }
--- a/core/src/test/java/org/streamring/kernel/availability/NoOpAvailabilityEvents.java
+++ b/core/src/test/java/org/streamring/kernel/availability/NoOpAvailabilityEvents.java
@@ -6,8 +6,8 @@
     public void leaving(String incarnation, NoticeSource source) {}
 
     @Override
-    public void rests(String incarnation, long restMillis) {}
+    public void backOffStarted(String incarnation, long backOffMillis) {}
 
     @Override
-    public void rested(String incarnation) {}
+    public void backOffEnded(String incarnation) {}
 }
--- a/core/src/test/java/org/streamring/kernel/config/ConfigurationTest.java
+++ b/core/src/test/java/org/streamring/kernel/config/ConfigurationTest.java
@@ -52,22 +52,22 @@
     @Test
     public void anOlderVersionNeverComesIntoForce() {
         ConfigurationHolder holder = new ConfigurationHolder();
-        holder.offerFull(5, List.of(rank("x", 5)));
-        assertThat(holder.offerFull(4, List.of(rank("x", 4)))).isFalse();
-        holder.offerChanges(List.of(change(3, "old", rank("x", 3)), change(5, "same", rank("x", 9))));
+        holder.applyFull(5, List.of(rank("x", 5)));
+        assertThat(holder.applyFull(4, List.of(rank("x", 4)))).isFalse();
+        holder.applyChanges(List.of(change(3, "old", rank("x", 3)), change(5, "same", rank("x", 9))));
         assertThat(holder.current().version()).isEqualTo(5);
         assertThat(holder.current().declarations().classes().get("x").rank()).isEqualTo(5);
-        assertThat(holder.staleOffers()).isEqualTo(3);
+        assertThat(holder.ignoredVersions()).isEqualTo(3);
     }
 
     @Test
     public void changesAreAppliedInOrderUpToTheFirstMissingVersion() {
         ConfigurationHolder holder = new ConfigurationHolder();
-        holder.offerFull(1, List.of());
-        assertThat(holder.offerChanges(List.of(change(4, "d", rank("x", 4)), change(2, "b", rank("x", 2)))))
+        holder.applyFull(1, List.of());
+        assertThat(holder.applyChanges(List.of(change(4, "d", rank("x", 4)), change(2, "b", rank("x", 2)))))
                 .contains(2L);
         assertThat(holder.current().version()).isEqualTo(2);
-        assertThat(holder.offerChanges(List.of(change(3, "c", new ConfigItem("classes", "x", "")))))
+        assertThat(holder.applyChanges(List.of(change(3, "c", new ConfigItem("classes", "x", "")))))
                 .isEmpty();
         assertThat(holder.current().declarations().classes()).isEmpty();
     }
@@ -77,9 +77,9 @@
         ConfigurationHolder holder = new ConfigurationHolder();
         List<Long> seen = new ArrayList<>();
         holder.listen((configuration, changes) -> seen.add(configuration.version()));
-        holder.offerFull(2, List.of());
-        holder.offerFull(1, List.of());
-        holder.offerChanges(List.of(change(3, "c")));
+        holder.applyFull(2, List.of());
+        holder.applyFull(1, List.of());
+        holder.applyChanges(List.of(change(3, "c")));
         assertThat(seen).containsExactly(2L, 3L);
     }
 
--- a/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
@@ -40,7 +40,7 @@
         @Override
         public boolean takes(String server, long now) {
             coordinator.wanted(server, now);
-            return coordinator.limits().takes(server, now);
+            return coordinator.limits().mayBePlaced(server, now);
         }
 
         @Override
--- a/core/src/test/java/org/streamring/kernel/permit/LimitSimulation.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitSimulation.java
@@ -209,11 +209,11 @@
         }
 
         @Override
-        public void ask(String entry, long number, PermitAsk ask) {
+        public void sendRequest(String entry, long number, PermitAsk ask) {
             int ofStart = startCount;
-            schedule(ofStart, PermitCoordinator.TIMEOUT_MILLIS, () -> coordinator.goOnWithUnanswered(now));
+            schedule(ofStart, PermitCoordinator.TIMEOUT_MILLIS, () -> coordinator.retryTimedOut(now));
             deliver(entry, other -> {
-                PermitGrant grant = other.coordinator.asked(name, ask, now);
+                PermitGrant grant = other.coordinator.answerRequest(name, ask, now);
                 other.deliver(name, requester -> {
                     if (requester.startCount == ofStart) {
                         requester.coordinator.granted(number, grant, now);
@@ -223,8 +223,8 @@
         }
 
         @Override
-        public void tell(String entry, LimitNews update) {
-            deliver(entry, other -> other.coordinator.told(name, update, now));
+        public void sendUpdate(String entry, LimitNews update) {
+            deliver(entry, other -> other.coordinator.applyUpdate(name, update, now));
         }
 
         private void deliver(String to, Consumer<Box> frame) {
--- a/core/src/test/java/org/streamring/kernel/permit/LimitedBackendsTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitedBackendsTest.java
@@ -26,8 +26,8 @@
     @Test
     public void aServerWithoutALimitTakesAllRequests() {
         limits.answered(INCARNATION, LimitWord.NONE, 0, 10);
-        assertThat(limits.takes(INCARNATION, 10)).isTrue();
-        assertThat(limits.turnMillis(INCARNATION, 10)).isZero();
+        assertThat(limits.mayBePlaced(INCARNATION, 10)).isTrue();
+        assertThat(limits.millisUntilPlaceable(INCARNATION, 10)).isZero();
         assertThat(limits.mayBeSent(INCARNATION, Optional.empty(), 10)).isTrue();
     }
 
@@ -41,12 +41,12 @@
     @Test
     public void noRequestIsPlacedWithoutAPermitAndEachPermitIsUsedOnce() {
         announce(1, 0, 10);
-        assertThat(limits.takes(INCARNATION, 10)).isFalse();
+        assertThat(limits.mayBePlaced(INCARNATION, 10)).isFalse();
         grant(1, 10, 15);
-        assertThat(limits.takes(INCARNATION, 15)).isTrue();
+        assertThat(limits.mayBePlaced(INCARNATION, 15)).isTrue();
         assertThat(limits.mayBeSent(INCARNATION, limits.place(INCARNATION, 15), 16))
                 .isTrue();
-        assertThat(limits.takes(INCARNATION, 16)).isFalse();
+        assertThat(limits.mayBePlaced(INCARNATION, 16)).isFalse();
     }
 
     @Test
@@ -58,7 +58,7 @@
         limits.granted(INCARNATION, 10, PermitGrant.none(500), 20);
         limits.wanted(INCARNATION, 519);
         assertThat(asked).hasSize(1);
-        assertThat(limits.turnMillis(INCARNATION, 500)).isEqualTo(20);
+        assertThat(limits.millisUntilPlaceable(INCARNATION, 500)).isEqualTo(20);
         limits.wanted(INCARNATION, 520);
         assertThat(asked).hasSize(2);
     }
@@ -68,7 +68,7 @@
         announce(1, 0, 10);
         grant(2, 10, 20);
         Optional<Permit> placed = limits.place(INCARNATION, 20);
-        assertThat(limits.takes(INCARNATION, 10 + LimitedBackends.PERMIT_EXPIRY_MILLIS + 1))
+        assertThat(limits.mayBePlaced(INCARNATION, 10 + LimitedBackends.PERMIT_EXPIRY_MILLIS + 1))
                 .isFalse();
         assertThat(limits.mayBeSent(INCARNATION, placed, 10 + LimitedBackends.SENDING_EXPIRY_MILLIS))
                 .isTrue();
@@ -82,7 +82,7 @@
         grant(2, 10, 20);
         Optional<Permit> placed = limits.place(INCARNATION, 20);
         announce(1, 0, 30);
-        assertThat(limits.takes(INCARNATION, 30)).isFalse();
+        assertThat(limits.mayBePlaced(INCARNATION, 30)).isFalse();
         assertThat(limits.mayBeSent(INCARNATION, placed, 30)).isFalse();
     }
 
@@ -91,7 +91,7 @@
         announce(1, 0, 10);
         grant(1, 10, 20);
         limits.place(INCARNATION, 20).ifPresent(limits::notSent);
-        assertThat(limits.takes(INCARNATION, 30)).isTrue();
+        assertThat(limits.mayBePlaced(INCARNATION, 30)).isTrue();
     }
 
     @Test
@@ -134,7 +134,7 @@
     @Test
     public void aRestartedServerStartsWithoutALimit() {
         announce(1, 0, 10);
-        assertThat(limits.takes("i-1@2", 10)).isTrue();
+        assertThat(limits.mayBePlaced("i-1@2", 10)).isTrue();
     }
 
     @Test
@@ -161,7 +161,7 @@
         announce(1, 0, 10);
         grant(Integer.MAX_VALUE, 10, 20);
         int placed = 0;
-        while (limits.takes(INCARNATION, 20)) {
+        while (limits.mayBePlaced(INCARNATION, 20)) {
             limits.place(INCARNATION, 20);
             placed++;
         }
--- a/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitDeskTest.java
@@ -29,7 +29,7 @@
         announceLimit(coordinator, 10, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
-        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
+        assertThat(coordinator.limits().mayBePlaced(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
                 .isTrue();
         assertThat(sent).noneMatch(each -> each.startsWith("ask"));
     }
@@ -41,7 +41,7 @@
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(0));
         coordinator.granted(lastNumber, new PermitGrant(1, 0), AFTER_VIEW_PROPAGATION + 10);
-        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 10))
+        assertThat(coordinator.limits().mayBePlaced(INCARNATION, AFTER_VIEW_PROPAGATION + 10))
                 .isTrue();
     }
 
@@ -50,7 +50,7 @@
         PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(2), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
-        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
+        coordinator.retryTimedOut(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
         assertThat(sent).contains("ask " + ENTRIES_BY_RANK.get(1));
     }
 
@@ -60,9 +60,9 @@
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         long first = lastNumber;
-        coordinator.goOnWithUnanswered(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
+        coordinator.retryTimedOut(AFTER_VIEW_PROPAGATION + PermitCoordinator.TIMEOUT_MILLIS);
         coordinator.granted(first, new PermitGrant(1, 0), AFTER_VIEW_PROPAGATION + 3_000);
-        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 3_000))
+        assertThat(coordinator.limits().mayBePlaced(INCARNATION, AFTER_VIEW_PROPAGATION + 3_000))
                 .isFalse();
     }
 
@@ -72,16 +72,16 @@
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION);
         assertThat(sent).isEmpty();
-        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION))
+        assertThat(coordinator.limits().mayBePlaced(INCARNATION, AFTER_VIEW_PROPAGATION))
                 .isFalse();
-        assertThat(coordinator.limits().turnMillis(INCARNATION, AFTER_VIEW_PROPAGATION))
+        assertThat(coordinator.limits().millisUntilPlaceable(INCARNATION, AFTER_VIEW_PROPAGATION))
                 .isEqualTo(LimitedBackends.RETRY_MILLIS);
     }
 
     @Test
     public void anOwnerRecordsTheLimitInAPermitRequest() {
         PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
-        coordinator.asked(
+        coordinator.answerRequest(
                 ENTRIES_BY_RANK.get(2),
                 new PermitAsk(new LimitNews(INCARNATION, 1, 20, 10), 1),
                 AFTER_VIEW_PROPAGATION);
@@ -105,12 +105,12 @@
     public void anOutdatedUpdateDoesNotEndALimit() {
         PermitCoordinator coordinator = coordinator(ENTRIES_BY_RANK.get(0), ENTRIES);
         announceLimit(coordinator, 1, AFTER_VIEW_PROPAGATION);
-        coordinator.told(
+        coordinator.applyUpdate(
                 ENTRIES_BY_RANK.get(2),
                 new LimitNews(INCARNATION, AnnouncedLimit.UNLIMITED, 500, 400),
                 AFTER_VIEW_PROPAGATION + 100);
         coordinator.wanted(INCARNATION, AFTER_VIEW_PROPAGATION + 100);
-        assertThat(coordinator.limits().takes(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
+        assertThat(coordinator.limits().mayBePlaced(INCARNATION, AFTER_VIEW_PROPAGATION + 100))
                 .isFalse();
     }
 
@@ -127,13 +127,13 @@
 
     private final class RecordingLink implements PermitLink {
         @Override
-        public void ask(String entry, long number, PermitAsk ask) {
+        public void sendRequest(String entry, long number, PermitAsk ask) {
             lastNumber = number;
             sent.add("ask " + entry);
         }
 
         @Override
-        public void tell(String entry, LimitNews update) {
+        public void sendUpdate(String entry, LimitNews update) {
             sent.add("update " + entry + " " + update.perSecond());
         }
     }
--- a/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
+++ b/core/src/test/java/org/streamring/kernel/permit/PermitIssuerTest.java
@@ -84,7 +84,7 @@
         assertThat(issuer.isInForce(INCARNATION)).isTrue();
     }
 
-    private static PermitAsk ask(double perSecond, long sentAgeMillis, long heardAgeMillis, int wanted) {
-        return new PermitAsk(new LimitNews(INCARNATION, perSecond, sentAgeMillis, heardAgeMillis), wanted);
+    private static PermitAsk ask(double perSecond, long sentAgeMillis, long receivedAgeMillis, int wanted) {
+        return new PermitAsk(new LimitNews(INCARNATION, perSecond, sentAgeMillis, receivedAgeMillis), wanted);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/placement/ColdReplicasTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/ColdReplicasTest.java
@@ -33,22 +33,22 @@
     public void aWarmReplicaAcceptsAnyNumberOfRequests() {
         ColdReplicas cold = new ColdReplicas("entry-1", () -> all);
         IntStream.range(0, 1_000).forEach(each -> cold.placed("i-1", 0));
-        assertThat(cold.takes("i-1", LIMIT, 0)).isTrue();
+        assertThat(cold.mayPlace("i-1", LIMIT, 0)).isTrue();
     }
 
     @Test
     public void aServiceWithoutColdRateIsNotLimited() {
         ColdReplicas cold = new ColdReplicas("entry-1", Set::of);
-        cold.heard("i-1", 3_000, 0);
-        assertThat(cold.takes("i-1", ColdLimit.NONE, 0)).isTrue();
+        cold.recordCold("i-1", 3_000, 0);
+        assertThat(cold.mayPlace("i-1", ColdLimit.NONE, 0)).isTrue();
     }
 
     @Test
     public void theLatestEndOfTheColdPeriodAppliesAndAReportOfZeroDoesNotEndIt() {
         ColdReplicas cold = new ColdReplicas("entry-1", () -> all);
-        cold.heard("i-1", 3_000, 1_000);
-        cold.heard("i-1", 500, 2_000);
-        cold.heard("i-1", 0, 2_500);
+        cold.recordCold("i-1", 3_000, 1_000);
+        cold.recordCold("i-1", 500, 2_000);
+        cold.recordCold("i-1", 0, 2_500);
         assertThat(cold.isCold("i-1", 3_999)).isTrue();
         assertThat(cold.isCold("i-1", 4_000)).isFalse();
     }
@@ -56,8 +56,8 @@
     @Test
     public void anEntryWithoutViewOfTheFleetSendsNothingToAColdReplica() {
         ColdReplicas cold = new ColdReplicas("entry-1", Set::of);
-        cold.heard("i-1", 3_000, 0);
-        assertThat(cold.takes("i-1", LIMIT, 100)).isFalse();
+        cold.recordCold("i-1", 3_000, 0);
+        assertThat(cold.mayPlace("i-1", LIMIT, 100)).isFalse();
     }
 
     @Test
@@ -72,7 +72,7 @@
     @Test
     public void twelveReplicasThatRestartColdTogetherStayWithinTheirLimit() {
         List<Long> most = mostInAnySecond(number -> all, false);
-        assertThat(most).allMatch(each -> each <= LIMIT.mostInSecond() / 2);
+        assertThat(most).allMatch(each -> each <= LIMIT.maxInOneSecond() / 2);
         assertThat(most).as("cold replicas still receive some requests").allMatch(each -> each >= 3);
     }
 
@@ -84,9 +84,9 @@
         Set<String> both = new HashSet<>(all);
         both.addAll(others);
         assertThat(mostInAnySecond(number -> number % 2 == 0 ? all : others, true))
-                .allMatch(each -> each <= LIMIT.mostInSecond());
+                .allMatch(each -> each <= LIMIT.maxInOneSecond());
         assertThat(mostInAnySecond(number -> number % 2 == 0 ? all : both, true))
-                .allMatch(each -> each <= LIMIT.mostInSecond());
+                .allMatch(each -> each <= LIMIT.maxInOneSecond());
     }
 
     private static List<Long> mostInAnySecond(IntFunction<Set<String>> view, boolean addNewEntries) {
@@ -108,11 +108,11 @@
                 fleet.add(new ColdReplicas("new-" + number, () -> others));
             }
         }
-        fleet.forEach(each -> each.heard(replica, 10_000, 0));
+        fleet.forEach(each -> each.recordCold(replica, 10_000, 0));
         List<Long> sent = new ArrayList<>();
         for (long now = 0; now < 6_000; now += 10) {
             for (ColdReplicas entry : fleet) {
-                while (entry.takes(replica, LIMIT, now)) {
+                while (entry.mayPlace(replica, LIMIT, now)) {
                     entry.placed(replica, now);
                     sent.add(now + random.nextInt(500));
                 }
--- a/core/src/test/java/org/streamring/kernel/placement/PeerLoadTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PeerLoadTest.java
@@ -45,7 +45,7 @@
                             within(1e-9));
             assertThat(load.unreadTokens(10, TOKENS_PER_MILLI))
                     .isEqualTo(last.values().stream()
-                            .mapToDouble(each -> Math.max(0, each.unreadTokens() - 10 * TOKENS_PER_MILLI))
+                            .mapToDouble(each -> Math.max(0, each.pendingPromptTokens() - 10 * TOKENS_PER_MILLI))
                             .sum());
         }
     }
--- a/core/src/test/java/org/streamring/kernel/placement/PlacementTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PlacementTableTest.java
@@ -92,14 +92,14 @@
                 before.slots(),
                 true,
                 0,
-                before.bornMillis() + 1);
+                before.startedMillis() + 1);
     }
 
     @Test
     public void promptsReportedByAnotherEntryCountAsCached() {
         PlacementTable other = new PlacementTable(new Random(2));
         start(other, engineQuery(shared("review-1", 12_000, 100, 30)), "i-3").ended();
-        table.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
+        table.applyReport("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
         assertThat(choose(table, engineQuery(shared("review-1", 12_000, 900, 30))))
                 .isEqualTo("i-3");
     }
@@ -116,7 +116,7 @@
         PlacementTable other = new PlacementTable(new Random(2));
         IntStream.of(0, 1, 2, 4).forEach(number -> start(other, engineQuery(shared("q", 100, 100)), "i-" + number)
                 .answered(10_050));
-        table.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
+        table.applyReport("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
         assertThat(choose(table, engineQuery(shared("review", 12_000, 3_000)))).isEqualTo("i-3");
 
         table.forget("entry-2");
@@ -129,15 +129,15 @@
     public void unreadTokensReportedByAnotherEntryDecreaseOverTime() {
         PlacementTable other = new PlacementTable(new Random(2));
         start(other, engineQuery(shared("r", 20_000, 20_000)), "i-1");
-        table.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 9_000);
+        table.applyReport("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 9_000);
         PlacementQuery query = engineQuery(shared("q", 100, 100));
         assertThat(table.started(query, ENGINE, replicas.get(1), 9_100)
                         .forecast()
-                        .unreadTokens())
+                        .pendingPromptTokens())
                 .isBetween(30_000L, 39_000L);
         assertThat(table.started(query, ENGINE, replicas.get(1), 10_500)
                         .forecast()
-                        .unreadTokens())
+                        .pendingPromptTokens())
                 .isLessThan(1_000);
     }
 
@@ -242,7 +242,7 @@
         for (int entry = 0; entry < 33; entry++) {
             PlacementTable other = new PlacementTable(new Random(entry));
             IntStream.range(0, 2).forEach(each -> start(other, query, preferred).answered(10_010));
-            table.reported("entry-" + entry, other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
+            table.applyReport("entry-" + entry, other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
         }
         assertThat(choose(table, query)).isNotEqualTo(preferred);
     }
@@ -264,7 +264,7 @@
         PlacementQuery query = engineQuery(shared("q", 100, 100));
         replicas.forEach(
                 replica -> IntStream.range(0, runningOfPeer).forEach(each -> start(other, query, replica.id())));
-        own.reported("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
+        own.applyReport("entry-2", other.report(10_000), id -> ENGINE.memoryTokens(), 10_000);
         int placed = 0;
         Optional<BackendInstance> chosen = own.choose(query, ENGINE, replicas, 33, 10_000);
         while (chosen.isPresent()) {
--- a/core/src/test/java/org/streamring/kernel/placement/PlacementTimes.java
+++ b/core/src/test/java/org/streamring/kernel/placement/PlacementTimes.java
@@ -34,7 +34,7 @@
             for (int prompt = 0; prompt < PROMPTS_OF_AN_ENTRY; prompt++) {
                 other.started(query(random), ENGINE, replicas.get(random.nextInt(REPLICAS)), 0);
             }
-            table.reported("entry-" + entry, other.report(0), id -> ENGINE.memoryTokens(), 0);
+            table.applyReport("entry-" + entry, other.report(0), id -> ENGINE.memoryTokens(), 0);
         }
         Random random = new Random(0);
         for (int round = 0; round < ROUNDS; round++) {
--- a/core/src/test/java/org/streamring/kernel/placement/ReportPaceTest.java
+++ b/core/src/test/java/org/streamring/kernel/placement/ReportPaceTest.java
@@ -15,7 +15,7 @@
         long due = 0;
         for (long now = 0; now < 10_000; now += 10) {
             if (now >= due) {
-                pace.told(REPORT_BYTES, now);
+                pace.recordReport(REPORT_BYTES, now);
                 bytes += REPORT_BYTES;
                 due = now + pace.waitMillis(now);
             }
@@ -39,7 +39,7 @@
     @Test
     public void reportsAreNotLimitedIfTheLinkRateIsUnknown() {
         ReportPace pace = new ReportPace(OptionalLong::empty);
-        pace.told(100 * REPORT_BYTES, 0);
+        pace.recordReport(100 * REPORT_BYTES, 0);
         assertThat(pace.waitMillis(0)).isEqualTo(ReportPace.MIN_DELAY_MILLIS);
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/AccountHomesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/AccountHomesTest.java
@@ -98,7 +98,7 @@
 
     private static HomeEntries homeEntries(String own, List<String> fleet) {
         HomeEntries homeEntries = new HomeEntries(own);
-        homeEntries.others(fleet);
+        homeEntries.updatePeers(fleet);
         return homeEntries;
     }
 }
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableCapRiseTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableCapRiseTest.java
@@ -38,7 +38,7 @@
     @Test
     public void furtherRowsRepeatTheTimeWhileAnOutcomeIsUnknown() {
         rise.proposed(SECOND);
-        rise.unanswered();
+        rise.outcomeUnknown();
         assertThat(rise.proposed(THIRD)).isEqualTo(SECOND);
         rise.refused();
         assertThat(rise.usable()).isEqualTo(SECOND);
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableReleaseTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableReleaseTest.java
@@ -38,7 +38,7 @@
     @Test
     public void withoutAnAnswerTheLongestTimeAppliesUntilARowIsConfirmed() {
         release.proposed(20_000);
-        release.unanswered();
+        release.outcomeUnknown();
         release.proposed(10_000);
         release.refused();
         assertThat(release.releaseMillis()).isEqualTo(20_000);
--- a/core/src/test/java/org/streamring/kernel/prepaid/DurableWitnessesTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/DurableWitnessesTest.java
@@ -33,7 +33,7 @@
     @Test
     public void withoutAnAnswerALaterRefusalDoesNotRestoreThePreviousWitnesses() {
         witnesses.proposed(Set.of("b"));
-        witnesses.unanswered();
+        witnesses.outcomeUnknown();
         witnesses.proposed(Set.of("a", "b"));
         witnesses.refused();
         assertThat(witnesses.usable()).containsExactly("b");
@@ -44,7 +44,7 @@
         DurableWitnesses fresh = new DurableWitnesses();
         assertThat(fresh.noneNamed()).isTrue();
         fresh.proposed(Set.of("a"));
-        fresh.unanswered();
+        fresh.outcomeUnknown();
         assertThat(fresh.noneNamed()).isFalse();
         assertThat(fresh.usable()).isEmpty();
     }
--- a/core/src/test/java/org/streamring/kernel/prepaid/FleetSimulation.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/FleetSimulation.java
@@ -69,7 +69,7 @@
         private Entry(int number, int count) {
             this.ledger = new PrepaidLedger("entry-" + number + ".a", SETTINGS);
             this.homeEntries = new HomeEntries("entry-" + number);
-            this.homeEntries.others(
+            this.homeEntries.updatePeers(
                     IntStream.range(0, count).mapToObj(each -> "entry-" + each).toList());
             this.writeOffsetMillis = random.nextLong(writeIntervalMillis(count));
         }
@@ -81,11 +81,11 @@
                 PrepaidRow row = rows.get(account);
                 PrepaidLedger.Proposal proposal = homeEntries.isHome(account)
                         ? ledger.plan(account, row, homeEntries.of(account).size(), homeEntries.shape())
-                        : ledger.planBorrower(account, row);
+                        : ledger.planNonHome(account, row);
                 ledger.proposed(proposal);
                 proposal.row().ifPresent(changed -> rows.put(account, changed));
                 ledger.confirmed(proposal);
-                written.put(account, proposal.mark());
+                written.put(account, proposal.cap());
             }
             Set<String> named = Set.of("witness");
             ledger.witnesses().proposed(named);
@@ -94,30 +94,30 @@
             ledger.release().proposed(releaseMillis);
             ledger.release().confirmed(releaseMillis);
             confirmedMillis = nowMillis;
-            ledger.storeSilentFor(0);
+            ledger.setTimeSinceConfirmedWrite(0);
             caps = new MarkRow(ledger.incarnation(), nowMillis, written, named, releaseMillis);
         }
 
         private long kept(String account) {
-            return PrepaidLedger.kept(rows.get(account).limit(), entries.size());
+            return PrepaidLedger.idleAllowance(rows.get(account).limit(), entries.size());
         }
 
         private void reportUse() {
-            if (ledger.needsNotes()) {
-                ledger.noted("witness", ledger.wantedNotes());
+            if (ledger.needsUsageRecords()) {
+                ledger.addRecordedByWitness("witness", ledger.tokensToRecord());
             }
         }
 
         /** Returns the tokens that could not be reclaimed if this entry and its witnesses died now. */
         private long unreclaimable() {
-            long patience = SETTINGS.patience().toMillis();
+            long silenceTimeout = SETTINGS.silenceTimeout().toMillis();
             long lost = 0;
             for (String account : accounts) {
                 Holding holding =
                         rows.get(account).holding(ledger.incarnation()).orElse(new Holding(0, 0));
-                long counted = caps.heldBy(nowMillis, patience)
-                        ? caps.usedAtMost(account, holding.granted(), nowMillis, patience)
-                        : caps.releasedAtMost(account, holding.granted(), nowMillis, patience);
+                long counted = caps.stayedWithinCaps(nowMillis, silenceTimeout)
+                        ? caps.usedAtMost(account, holding.granted(), nowMillis, silenceTimeout)
+                        : caps.releasedAtMost(account, holding.granted(), nowMillis, silenceTimeout);
                 lost += Math.max(
                         0,
                         counted - ledger.planClose(account, rows.get(account)).granted());
@@ -130,7 +130,7 @@
                 ledger.addWaiting(account, asked);
                 if (!inOutage()) {
                     write();
-                } else if (ledger.noteWouldHelp(account, asked)) {
+                } else if (ledger.recordWouldHelp(account, asked)) {
                     reportUse();
                 }
                 ledger.addWaiting(account, -asked);
@@ -158,7 +158,7 @@
         private void returnIdle() {
             for (String account : accounts) {
                 if (!homeEntries.isHome(account)) {
-                    long idle = ledger.giveUpIdle(account, kept(account));
+                    long idle = ledger.takeIdleForReturn(account, kept(account));
                     if (idle > 0) {
                         String home = homeEntries
                                 .of(account)
@@ -234,7 +234,7 @@
     }
 
     private void tick(Entry entry) {
-        entry.ledger.storeSilentFor(inOutage() ? nowMillis - entry.confirmedMillis : 0);
+        entry.ledger.setTimeSinceConfirmedWrite(inOutage() ? nowMillis - entry.confirmedMillis : 0);
         long intervalMillis = writeIntervalMillis(entries.size());
         if (!inOutage() && (nowMillis + entry.writeOffsetMillis) % intervalMillis < STEP_MILLIS) {
             entry.write();
--- a/core/src/test/java/org/streamring/kernel/prepaid/PrepaidFaultInjectionTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/PrepaidFaultInjectionTest.java
@@ -26,7 +26,7 @@
     private static final int STEPS = 4_000;
     private static final long STEP_MILLIS = 100;
     private static final long SILENCE_TIMEOUT_MILLIS =
-            PrepaidSettings.DEFAULT.patience().toMillis();
+            PrepaidSettings.DEFAULT.silenceTimeout().toMillis();
     private static final long COVER_MILLIS = PrepaidSettings.DEFAULT.cover().toMillis();
     private static final long MARGIN_MILLIS = 200;
     private static final int SEEDS = 150;
@@ -184,7 +184,7 @@
         private void act(Entry entry) {
             entry.ledger.sample(nowMillis);
             if (entry.reclaimed) {
-                entry.ledger.storeSilentFor(
+                entry.ledger.setTimeSinceConfirmedWrite(
                         nowMillis - entry.rise.usable().localMillis(),
                         nowMillis - entry.rise.inForce().localMillis());
             }
@@ -227,7 +227,7 @@
             }
             boolean borrower = someEntriesBorrow && (entry.box + nowMillis / ROLE_CHANGE_MILLIS) % 2 == 0;
             PrepaidLedger.Proposal proposal = borrower
-                    ? entry.ledger.planBorrower(ACCOUNT, row)
+                    ? entry.ledger.planNonHome(ACCOUNT, row)
                     : entry.ledger.plan(ACCOUNT, row, ENTRIES, shape());
             entry.ledger.proposed(proposal);
             Set<String> namedWitnesses = chooseWitnesses(entry);
@@ -238,7 +238,7 @@
             MarkRow newMarks = new MarkRow(
                     entry.incarnation,
                     start.storeMillis(),
-                    Map.of(ACCOUNT, proposal.mark()),
+                    Map.of(ACCOUNT, proposal.cap()),
                     namedWitnesses,
                     releaseMillis);
             int outcome = random.nextInt(10);
@@ -246,16 +246,16 @@
                 long due = nowMillis + random.nextInt(6_000);
                 delayedWrites.add(
                         new DelayedWrite(due, rowVersion, marksVersion(entry.box), entry, proposal.row(), newMarks));
-                entry.ledger.unanswered(proposal);
-                entry.ledger.witnesses().unanswered();
-                entry.ledger.release().unanswered();
-                entry.rise.unanswered();
+                entry.ledger.outcomeUnknown(proposal);
+                entry.ledger.witnesses().outcomeUnknown();
+                entry.ledger.release().outcomeUnknown();
+                entry.rise.outcomeUnknown();
             } else if (outcome == 1) {
                 commit(entry.box, proposal.row(), newMarks);
-                entry.ledger.unanswered(proposal);
-                entry.ledger.witnesses().unanswered();
-                entry.ledger.release().unanswered();
-                entry.rise.unanswered();
+                entry.ledger.outcomeUnknown(proposal);
+                entry.ledger.witnesses().outcomeUnknown();
+                entry.ledger.release().outcomeUnknown();
+                entry.rise.outcomeUnknown();
             } else if (outcome == 2) {
                 entry.ledger.refused(proposal);
                 entry.ledger.witnesses().refused();
@@ -264,7 +264,7 @@
             } else {
                 commit(entry.box, proposal.row(), newMarks);
                 entry.rise.confirmed();
-                entry.ledger.storeSilentFor(nowMillis - start.localMillis());
+                entry.ledger.setTimeSinceConfirmedWrite(nowMillis - start.localMillis());
                 entry.ledger.confirmed(proposal);
                 entry.ledger.witnesses().confirmed(namedWitnesses);
                 entry.ledger.release().confirmed(releaseMillis);
@@ -280,7 +280,7 @@
         private void reclaim(Entry entry) {
             Optional<MarkRow> predecessorRow = Optional.ofNullable(marks.get(entry.box));
             Optional<PrepaidRow> changed = predecessorRow
-                    .filter(each -> each.heldBy(entry.startMillis, SILENCE_TIMEOUT_MILLIS - MARGIN_MILLIS))
+                    .filter(each -> each.stayedWithinCaps(entry.startMillis, SILENCE_TIMEOUT_MILLIS - MARGIN_MILLIS))
                     .flatMap(each -> entry.ledger.reclaim(ACCOUNT, row, each, entry.startMillis));
             changed.ifPresent(
                     next -> checkReclaimed(predecessorRow.orElseThrow().incarnation(), next));
@@ -309,10 +309,10 @@
         }
 
         private void sendUsageReports(Entry entry) {
-            if (!entry.ledger.needsNotes() || random.nextInt(3) == 0) {
+            if (!entry.ledger.needsUsageRecords() || random.nextInt(3) == 0) {
                 return;
             }
-            Map<String, Long> tokens = entry.ledger.wantedNotes();
+            Map<String, Long> tokens = entry.ledger.tokensToRecord();
             for (String witness : entry.ledger.witnesses().usable()) {
                 for (int copies = random.nextInt(3); copies > 0; copies--) {
                     long due = nowMillis + (random.nextInt(5) == 0 ? random.nextInt(8_000) : 0);
@@ -330,9 +330,9 @@
                 Optional<Entry> witness = alive(report.witness);
                 boolean recorded = witness.isPresent()
                         && !linkDown(report.from, report.witness)
-                        && witness.get().witnessRecords.note(report.from.incarnation, report.tokens);
+                        && witness.get().witnessRecords.add(report.from.incarnation, report.tokens);
                 if (recorded && random.nextInt(5) > 0) {
-                    report.from.ledger.noted(report.witness, report.tokens);
+                    report.from.ledger.addRecordedByWitness(report.witness, report.tokens);
                 }
             }
         }
@@ -359,21 +359,21 @@
                     && entry.witnessAnswers
                             .keySet()
                             .containsAll(predecessorRow.get().witnesses())) {
-                Map<String, Long> noted = new HashMap<>();
+                Map<String, Long> recorded = new HashMap<>();
                 entry.witnessAnswers
                         .values()
-                        .forEach(each -> each.forEach((account, tokens) -> noted.merge(account, tokens, Math::max)));
+                        .forEach(each -> each.forEach((account, tokens) -> recorded.merge(account, tokens, Math::max)));
                 reclaimUnused(
                         entry,
                         predecessorRow.get(),
-                        PrepaidLedger.reclaimNoted(ACCOUNT, row, predecessorRow.get(), noted));
+                        PrepaidLedger.reclaimUnrecorded(ACCOUNT, row, predecessorRow.get(), recorded));
             }
         }
 
         /** Reclaims tokens without the answers of the witnesses, also while witnesses could still answer. */
         private void reclaimWithoutWitnesses(Entry entry, MarkRow predecessorRow) {
             Optional<PrepaidRow> changed =
-                    entry.ledger.reclaimReleased(ACCOUNT, row, predecessorRow, entry.startMillis);
+                    entry.ledger.reclaimUnreleased(ACCOUNT, row, predecessorRow, entry.startMillis);
             if (changed.isPresent()) {
                 reclaimUnused(entry, predecessorRow, changed);
             }
--- a/core/src/test/java/org/streamring/kernel/prepaid/PrepaidLedgerTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/PrepaidLedgerTest.java
@@ -15,7 +15,7 @@
     private static final long LIMIT = 100_000;
 
     private static final long SILENCE_TIMEOUT_MILLIS =
-            PrepaidSettings.DEFAULT.patience().toMillis();
+            PrepaidSettings.DEFAULT.silenceTimeout().toMillis();
     private static final long FULL_RELEASE_MILLIS =
             PrepaidSettings.DEFAULT.cover().toMillis();
     private static final long HALF_RELEASED_MILLIS = (SILENCE_TIMEOUT_MILLIS + FULL_RELEASE_MILLIS) / 2;
@@ -42,7 +42,7 @@
     public void anEntryThatAcceptsNoMoreRequestsKeepsOnlyTokensInUse() {
         ledger.confirmed(propose(50_000));
         ledger.reserve(ACCOUNT, 7_000);
-        ledger.stopTaking();
+        ledger.releaseUnused();
 
         Proposal released = ledger.plan(ACCOUNT, row, 1);
         assertThat(released.granted()).isEqualTo(7_000);
@@ -51,10 +51,10 @@
 
     @Test
     public void aBorrowerHoldsNoLeaseOfItsOwn() {
-        assertThat(ledger.planBorrower(ACCOUNT, row).row()).isEmpty();
+        assertThat(ledger.planNonHome(ACCOUNT, row).row()).isEmpty();
 
         ledger.borrow(ACCOUNT, 1_500);
-        assertThat(ledger.planBorrower(ACCOUNT, row).row()).isEmpty();
+        assertThat(ledger.planNonHome(ACCOUNT, row).row()).isEmpty();
         assertThat(ledger.available(ACCOUNT)).isEqualTo(1_500);
     }
 
@@ -65,15 +65,16 @@
     @Test
     public void aSmallRemainderIsReturnedInAFrameAndNotThroughTheRow() {
         ledger.borrow(ACCOUNT, 1_500);
-        assertThat(ledger.planBorrower(ACCOUNT, row).row()).isEmpty();
-        assertThat(ledger.giveUpIdle(ACCOUNT, PrepaidLedger.kept(LIMIT, 33))).isEqualTo(1_500 - LIMIT / 50 / 33);
+        assertThat(ledger.planNonHome(ACCOUNT, row).row()).isEmpty();
+        assertThat(ledger.takeIdleForReturn(ACCOUNT, PrepaidLedger.idleAllowance(LIMIT, 33)))
+                .isEqualTo(1_500 - LIMIT / 50 / 33);
     }
 
     @Test
     public void aBorrowerReturnsUnusedTokens() {
         row = row.withHolding("entry-2.a", new Holding(9_000, 9_000));
         ledger.borrow(ACCOUNT, 9_000);
-        Proposal proposal = ledger.planBorrower(ACCOUNT, row);
+        Proposal proposal = ledger.planNonHome(ACCOUNT, row);
         ledger.proposed(proposal);
 
         assertThat(proposal.row().orElseThrow().used()).isZero();
@@ -83,7 +84,7 @@
     @Test
     public void aBorrowerWithoutALenderLeasesTheTokensOfARequest() {
         ledger.addWaiting(ACCOUNT, 700);
-        Proposal proposal = ledger.planBorrower(ACCOUNT, row);
+        Proposal proposal = ledger.planNonHome(ACCOUNT, row);
         ledger.proposed(proposal);
         ledger.confirmed(proposal);
 
@@ -131,7 +132,7 @@
         ledger.confirmed(propose(50_000));
         Proposal smaller = ledger.plan(ACCOUNT, row, 1);
         ledger.proposed(smaller);
-        ledger.unanswered(smaller);
+        ledger.outcomeUnknown(smaller);
         Proposal next = ledger.plan(ACCOUNT, row, 1);
         ledger.proposed(next);
         ledger.refused(next);
@@ -142,7 +143,7 @@
     @Test
     public void aLeaseWhoseWriteHasNoAnswerIsPlannedAgain() {
         Proposal proposal = propose(10_000);
-        ledger.unanswered(proposal);
+        ledger.outcomeUnknown(proposal);
         assertThat(ledger.plan(ACCOUNT, row, 1).row()).isPresent();
     }
 
@@ -173,22 +174,22 @@
         ledger.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
         assertThat(ledger.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
 
-        ledger.storeSilentFor(SILENCE_TIMEOUT_MILLIS - 1);
+        ledger.setTimeSinceConfirmedWrite(SILENCE_TIMEOUT_MILLIS - 1);
         assertThat(ledger.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
-        ledger.storeSilentFor(HALF_RELEASED_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(HALF_RELEASED_MILLIS);
         assertThat(ledger.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.RESERVED);
     }
 
     @Test
     public void afterTheSilenceTimeoutTheRemainderOfALeaseIsReleasedEvenly() {
         ledger.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
-        ledger.storeSilentFor(SILENCE_TIMEOUT_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(SILENCE_TIMEOUT_MILLIS);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(3_000);
-        ledger.storeSilentFor(HALF_RELEASED_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(HALF_RELEASED_MILLIS);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(6_500);
-        ledger.storeSilentFor(FULL_RELEASE_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(FULL_RELEASE_MILLIS);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(10_000);
-        ledger.storeSilentFor(2 * FULL_RELEASE_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(2 * FULL_RELEASE_MILLIS);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(10_000);
     }
 
@@ -196,17 +197,17 @@
     public void aWitnessMustRecordTokensAboveTheUsageCapFirst() {
         ledger.witnesses().confirmed(Set.of("entry-2.a"));
         ledger.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
-        ledger.storeSilentFor(SILENCE_TIMEOUT_MILLIS);
-        assertThat(ledger.noteWouldHelp(ACCOUNT, 5_000)).isFalse();
-        ledger.storeSilentFor(HALF_RELEASED_MILLIS);
+        ledger.setTimeSinceConfirmedWrite(SILENCE_TIMEOUT_MILLIS);
+        assertThat(ledger.recordWouldHelp(ACCOUNT, 5_000)).isFalse();
+        ledger.setTimeSinceConfirmedWrite(HALF_RELEASED_MILLIS);
         assertThat(ledger.reserve(ACCOUNT, 5_000)).isEqualTo(Outcome.SHORT);
-        assertThat(ledger.noteWouldHelp(ACCOUNT, 5_000)).isTrue();
+        assertThat(ledger.recordWouldHelp(ACCOUNT, 5_000)).isTrue();
 
-        ledger.noted("entry-3.a", Map.of(ACCOUNT, 9_000L));
+        ledger.addRecordedByWitness("entry-3.a", Map.of(ACCOUNT, 9_000L));
         assertThat(ledger.available(ACCOUNT)).isEqualTo(3_000);
-        ledger.noted("entry-2.a", Map.of(ACCOUNT, 6_000L));
+        ledger.addRecordedByWitness("entry-2.a", Map.of(ACCOUNT, 6_000L));
         assertThat(ledger.available(ACCOUNT)).isEqualTo(6_000);
-        ledger.noted("entry-2.a", Map.of(ACCOUNT, 9_000L));
+        ledger.addRecordedByWitness("entry-2.a", Map.of(ACCOUNT, 9_000L));
         assertThat(ledger.available(ACCOUNT)).as("not released yet").isEqualTo(6_500);
     }
 
@@ -214,7 +215,7 @@
     public void tokensThatRequestsWaitForAreReportedToWitnesses() {
         ledger.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, Mark.of(3_000)));
         ledger.addWaiting(ACCOUNT, 5_000);
-        assertThat(ledger.wantedNotes()).containsEntry(ACCOUNT, 5_000L);
+        assertThat(ledger.tokensToRecord()).containsEntry(ACCOUNT, 5_000L);
     }
 
     @Test
@@ -222,11 +223,11 @@
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
         MarkRow marks = new MarkRow(
                 "entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), FULL_RELEASE_MILLIS);
-        assertThat(PrepaidLedger.reclaimNoted(ACCOUNT, held, marks, Map.of())
+        assertThat(PrepaidLedger.reclaimUnrecorded(ACCOUNT, held, marks, Map.of())
                         .orElseThrow()
                         .used())
                 .isEqualTo(6_000);
-        assertThat(PrepaidLedger.reclaimNoted(ACCOUNT, held, marks, Map.of(ACCOUNT, 9_000L))
+        assertThat(PrepaidLedger.reclaimUnrecorded(ACCOUNT, held, marks, Map.of(ACCOUNT, 9_000L))
                         .orElseThrow()
                         .used())
                 .isEqualTo(9_000);
@@ -237,7 +238,7 @@
         ledger.confirmed(propose(10_000));
         Proposal unchanged = new Proposal(ACCOUNT, Optional.empty(), 10_000, Mark.of(10_000));
         ledger.proposed(unchanged);
-        ledger.unanswered(unchanged);
+        ledger.outcomeUnknown(unchanged);
         ledger.reserve(ACCOUNT, 6_000);
         ledger.addWaiting(ACCOUNT, 4_000);
         assertThat(ledger.plan(ACCOUNT, row, 4).row()).isEmpty();
@@ -248,9 +249,9 @@
         ledger.confirmed(new Proposal(ACCOUNT, Optional.of(row), 10_000, new Mark(0, 1_000, 6_000)));
         assertThat(ledger.available(ACCOUNT)).isEqualTo(1_000);
 
-        ledger.storeSilentFor(SILENCE_TIMEOUT_MILLIS / 8);
+        ledger.setTimeSinceConfirmedWrite(SILENCE_TIMEOUT_MILLIS / 8);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(1_000);
-        ledger.storeSilentFor(SILENCE_TIMEOUT_MILLIS / 2);
+        ledger.setTimeSinceConfirmedWrite(SILENCE_TIMEOUT_MILLIS / 2);
         assertThat(ledger.available(ACCOUNT)).isEqualTo(3_000);
     }
 
@@ -349,29 +350,29 @@
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
         MarkRow marks = new MarkRow(
                 "entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of("entry-2.a"), FULL_RELEASE_MILLIS);
-        PrepaidRow reclaimed = ledger.reclaimReleased(ACCOUNT, held, marks, 1_000 + HALF_RELEASED_MILLIS)
+        PrepaidRow reclaimed = ledger.reclaimUnreleased(ACCOUNT, held, marks, 1_000 + HALF_RELEASED_MILLIS)
                 .orElseThrow();
         assertThat(reclaimed.used()).isEqualTo(18_000);
         assertThat(reclaimed.holdings()).isEmpty();
-        assertThat(ledger.reclaimReleased(ACCOUNT, held, marks, 1_000 + FULL_RELEASE_MILLIS))
+        assertThat(ledger.reclaimUnreleased(ACCOUNT, held, marks, 1_000 + FULL_RELEASE_MILLIS))
                 .as("all tokens may be used by then, and a witness may still answer")
                 .isEmpty();
-        assertThat(ledger.reclaimReleased(ACCOUNT, row, marks, 1_000)).isEmpty();
+        assertThat(ledger.reclaimUnreleased(ACCOUNT, row, marks, 1_000)).isEmpty();
     }
 
     @Test
     public void nothingIsReclaimedWithoutWitnessesIfThePredecessorReleasedAllTokens() {
         PrepaidRow held = row.withHolding("entry-1.old", new Holding(30_000, 2_000));
         MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(ACCOUNT, Mark.of(6_000)), Set.of(), 0);
-        assertThat(ledger.reclaimReleased(ACCOUNT, held, marks, 1_000 + SILENCE_TIMEOUT_MILLIS))
+        assertThat(ledger.reclaimUnreleased(ACCOUNT, held, marks, 1_000 + SILENCE_TIMEOUT_MILLIS))
                 .isEmpty();
     }
 
     @Test
     public void aLeaseWithoutDemandHasALowUsageCap() {
         Proposal proposal = ledger.plan(ACCOUNT, row, 1);
-        assertThat(proposal.mark().atOnce()).isLessThan(proposal.granted() / 4);
-        assertThat(proposal.mark().atPatience()).isLessThanOrEqualTo(proposal.granted());
+        assertThat(proposal.cap().atOnce()).isLessThan(proposal.granted() / 4);
+        assertThat(proposal.cap().atSilenceTimeout()).isLessThanOrEqualTo(proposal.granted());
     }
 
     @Test
@@ -385,8 +386,8 @@
     @Test
     public void usageCapsApplyOnlyToSuccessorsThatStartSoon() {
         MarkRow marks = new MarkRow("entry-1.old", 1_000, Map.of(), Set.of(), FULL_RELEASE_MILLIS);
-        assertThat(marks.heldBy(4_999, 4_000)).isTrue();
-        assertThat(marks.heldBy(5_000, 4_000)).isFalse();
+        assertThat(marks.stayedWithinCaps(4_999, 4_000)).isTrue();
+        assertThat(marks.stayedWithinCaps(5_000, 4_000)).isFalse();
     }
 
     @Test
--- a/core/src/test/java/org/streamring/kernel/prepaid/RenewalIntervalTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/RenewalIntervalTest.java
@@ -19,7 +19,8 @@
     @Test(dataProvider = "sizes")
     public void aHolderRenewsThreeTimesWithinTheSilenceTimeout(int entries) {
         long interval = RenewalInterval.millis(true, Math.min(HOLDERS, entries), entries);
-        assertThat(3 * interval).isLessThan(PrepaidSettings.DEFAULT.patience().toMillis());
+        assertThat(3 * interval)
+                .isLessThan(PrepaidSettings.DEFAULT.silenceTimeout().toMillis());
     }
 
     @Test(dataProvider = "sizes")
--- a/core/src/test/java/org/streamring/kernel/prepaid/WitnessRecordsTest.java
+++ b/core/src/test/java/org/streamring/kernel/prepaid/WitnessRecordsTest.java
@@ -16,15 +16,15 @@
 
     @Test
     public void theLargestRecordIsReturned() {
-        records.note("entry-1.a", Map.of("portal", 5_000L));
-        records.note("entry-1.a", Map.of("portal", 3_000L));
+        records.add("entry-1.a", Map.of("portal", 5_000L));
+        records.add("entry-1.a", Map.of("portal", 3_000L));
         assertThat(records.close("entry-1.a")).containsEntry("portal", 5_000L);
     }
 
     @Test
     public void recordsAreRefusedAfterTheSuccessorAsked() {
         assertThat(records.close("entry-1.a")).isEmpty();
-        assertThat(records.note("entry-1.a", Map.of("portal", 5_000L))).isFalse();
+        assertThat(records.add("entry-1.a", Map.of("portal", 5_000L))).isFalse();
         assertThat(records.close("entry-1.a")).isEmpty();
     }
 }
--- a/core/src/test/java/org/streamring/kernel/receipt/ReceiptStoreTest.java
+++ b/core/src/test/java/org/streamring/kernel/receipt/ReceiptStoreTest.java
@@ -52,7 +52,7 @@
     public void aRetryOfARunningRequestAttaches() {
         assertThat(receipts.admit(nonRepeatable("a1", "r"), 0)).isEqualTo(new Run());
         assertThat(receipts.admit(nonRepeatable("a2", "r"), 0)).isEqualTo(new Attach("a1"));
-        assertThat(receipts.receiptsFor(List.of("a2")))
+        assertThat(receipts.queryOrBar(List.of("a2")))
                 .as("the retry is not charged")
                 .isEmpty();
     }
@@ -83,25 +83,25 @@
 
     @Test
     public void aRefusedNonRepeatableRequestIsNeverRunByThisIncarnation() {
-        receipts.leave();
+        receipts.refuseNewAttempts();
         assertThat(receipts.admit(nonRepeatable("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.LEAVING));
-        receipts.stay();
+        receipts.acceptNewAttempts();
         assertThat(receipts.admit(nonRepeatable("a2", "r"), 0)).isInstanceOf(Refuse.class);
     }
 
     @Test
     public void aRefusedRepeatableRequestMayBeTriedAgain() {
-        receipts.leave();
+        receipts.refuseNewAttempts();
         receipts.admit(repeatable("a1", "r"), 0);
-        receipts.stay();
+        receipts.acceptNewAttempts();
         assertThat(receipts.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
     }
 
     @Test
     public void aFailedRepeatableAttemptIsNotChargedAndMayRunAgain() {
         receipts.admit(repeatable("a1", "r"), 0);
-        receipts.brokeOff(repeatable("a1", "r"), 0);
-        assertThat(receipts.receiptsFor(List.of("a1")).get(0).tokens()).isZero();
+        receipts.endWithoutCharge(repeatable("a1", "r"), 0);
+        assertThat(receipts.queryOrBar(List.of("a1")).get(0).tokens()).isZero();
         assertThat(receipts.admit(repeatable("a2", "r"), 0)).isEqualTo(new Run());
     }
 
@@ -147,7 +147,7 @@
 
     @Test
     public void aQueryForAnUnknownAttemptBarsIt() {
-        assertThat(receipts.receiptsFor(List.of("a1"))).isEmpty();
+        assertThat(receipts.queryOrBar(List.of("a1"))).isEmpty();
         assertThat(receipts.admit(repeatable("a1", "r"), 0)).isEqualTo(new Refuse(RefusalReason.FENCED));
     }
 
@@ -156,14 +156,14 @@
         receipts.admit(repeatable("a1", "r1"), 0);
         receipts.admit(repeatable("a2", "r2"), 0);
         receipts.end(repeatable("a1", "r1"), Usage.flat(7), 0, 0);
-        receipts.forgetLeases(List.of("entry~1/1"));
+        receipts.removeSettledReceipts(List.of("entry~1/1"));
         assertThat(receipts.receiptCount()).isEqualTo(1);
     }
 
     @Test
     public void anOrderThatWasNotForwardedLeavesNoReceipt() {
         receipts.admit(nonRepeatable("a1", "r"), 0);
-        receipts.notForwarded(nonRepeatable("a1", "r"), 0);
+        receipts.withdraw(nonRepeatable("a1", "r"), 0);
         assertThat(receipts.receiptCount()).isZero();
         assertThat(receipts.running()).isZero();
         assertThat(receipts.admit(nonRepeatable("a2", "r"), 0))
--- a/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/LeaseCloserTest.java
@@ -125,8 +125,9 @@
         close(new LeaseCloser("entry-2~b"), fence("s1~a"));
         Row held = bank.rows(RowKeys.HELD).get(0);
         PeerReceipts late = fence("s2~a").get(0);
-        bank.table.transact(
-                new HeldResolver("entry-2~b").onAnswer(held, late, Set.of(), 0).transaction());
+        bank.table.transact(new HeldResolver("entry-2~b")
+                .settleWithReceipts(held, late, Set.of(), 0)
+                .transaction());
         assertThat(bank.settled(BUDGET)).isEqualTo(100);
         assertThat(bank.held(BUDGET)).isZero();
         assertThat(bank.remaining(BUDGET)).isEqualTo(9_900);
@@ -154,7 +155,7 @@
         }
         List<BillItem> bills = close(new LeaseCloser("entry-2~b"), fence("s1~a"));
         HeldResolver.Resolution resolution = new HeldResolver("entry-2~b")
-                .onAnswer(
+                .settleWithReceipts(
                         bank.rows(RowKeys.HELD).get(0),
                         fence("s2~a").get(0),
                         Set.of(bills.get(0).attempt()),
@@ -269,7 +270,7 @@
         close(new LeaseCloser("entry-2~b"), List.of());
         Row held = bank.rows(RowKeys.HELD).get(0);
         bank.table.transact(new org.streamring.kernel.table.Transaction(
-                "decision", new HeldResolver("operator").onDecision(held, 70)));
+                "decision", new HeldResolver("operator").settleByDecision(held, 70)));
         assertThat(bank.settled(BUDGET)).isEqualTo(70);
         assertThat(bank.held(BUDGET)).isZero();
         bank.assertSumsAgree(BUDGET);
--- a/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
+++ b/core/src/test/java/org/streamring/kernel/recovery/MoneyUnderFaultsTest.java
@@ -231,7 +231,7 @@
 
     private void resolveUncertain(LedgerDriver entry, String sidecar) {
         for (Reservation reservation : entry.ledger.uncertainAt(sidecar)) {
-            List<Receipt> receipts = sidecars.get(sidecar).receiptsFor(List.of(reservation.attempt()));
+            List<Receipt> receipts = sidecars.get(sidecar).queryOrBar(List.of(reservation.attempt()));
             if (receipts.isEmpty()) {
                 entry.ledger.release(reservation);
             } else if (receipts.get(0).ended()) {
@@ -330,12 +330,12 @@
         ReceiptStore receiptStore = sidecars.get(peer);
         String entry = record.leaseId().substring(0, record.leaseId().indexOf('/'));
         List<Receipt> receipts =
-                record.attempts().isEmpty() ? receiptStore.fence(entry) : receiptStore.receiptsFor(record.attempts());
+                record.attempts().isEmpty() ? receiptStore.fence(entry) : receiptStore.queryOrBar(record.attempts());
         if (!HeldResolver.isFinal(row, receipts)) {
             return;
         }
         HeldResolver.Resolution resolution =
-                new HeldResolver("r").onAnswer(row, new PeerReceipts(peer, receipts), bill.attempts(), now);
+                new HeldResolver("r").settleWithReceipts(row, new PeerReceipts(peer, receipts), bill.attempts(), now);
         resolution.items().forEach(bill::add);
         bank.table.transact(resolution.transaction());
     }
--- a/core/src/test/java/org/streamring/kernel/registry/BackendRegistryTest.java
+++ b/core/src/test/java/org/streamring/kernel/registry/BackendRegistryTest.java
@@ -48,8 +48,8 @@
     @Test
     public void aServerWhoseAnswerReportedItsShutdownIsNotKeptThroughAnOutage() {
         availability.answered(backend("i-1", true).incarnation(), false, new BackendNotice(true, 0), 9_000);
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
         assertThat(registry.all()).extracting(BackendInstance::id).containsExactly("i-2");
     }
@@ -62,8 +62,8 @@
 
     @Test
     public void aRowThatLapsedDuringAnOutageIsKeptForALimitedTime() {
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
 
         assertThat(ids()).containsExactlyInAnyOrder("i-1", "i-2");
@@ -75,8 +75,8 @@
 
     @Test
     public void aRowThatCannotBeParsedIsNotKeptThroughAnOutage() {
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
         registry.drop("i-1");
         assertThat(ids()).containsExactly("i-2");
@@ -85,8 +85,8 @@
 
     @Test
     public void aLapsedRowThatIsListedAgainInTimeIsKept() {
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.replaceAll(List.of(), 10_000);
         registry.put(backend("i-1", true), 0);
         registry.expire(20_000);
@@ -96,8 +96,8 @@
     @Test
     public void aServerThatIsShuttingDownIsNotKeptThroughAnOutage() {
         registry.put(backend("i-1", false), 0);
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.replaceAll(List.of(backend("i-2", true)), 10_000);
         assertThat(ids()).containsExactly("i-2");
         assertThat(registry.all()).extracting(BackendInstance::id).containsExactly("i-2");
@@ -105,8 +105,8 @@
 
     @Test
     public void rowsRemovedLongAfterAnOutageAreRemovedAtOnce() {
-        registry.listLost();
-        registry.listBack(10_000);
+        registry.setListUnavailable();
+        registry.listRestored(10_000);
         registry.remove("i-1", 10_000 + KEEP_LAPSED_MILLIS);
         assertThat(ids()).containsExactly("i-2");
     }
@@ -116,7 +116,7 @@
         registry.evacuated(Set.of("hall-1"));
         registry.put(backend("i-3", true), 0);
         assertThat(ids()).isEmpty();
-        assertThat(registry.stays(backend("i-1", true))).isFalse();
+        assertThat(registry.isOpenAndRunning(backend("i-1", true))).isFalse();
         assertThat(registry.find("i-1"))
                 .as("still registered for its running streams")
                 .isPresent();
@@ -127,7 +127,7 @@
 
     private List<String> ids() {
         return registry.inService("assist").stream()
-                .filter(instance -> availability.takes(instance.incarnation(), 0))
+                .filter(instance -> availability.isAvailable(instance.incarnation(), 0))
                 .map(BackendInstance::id)
                 .toList();
     }
--- a/core/src/test/java/org/streamring/kernel/routing/ReplicaTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/routing/ReplicaTableTest.java
@@ -90,7 +90,7 @@
 
     private void recordServiceTimes(String name, double millis, long now) {
         for (int i = 0; i < 10; i++) {
-            table.paced(name, millis, now);
+            table.recordServiceTime(name, millis, now);
         }
     }
 
--- a/core/src/test/java/org/streamring/kernel/routing/RoutingTestBase.java
+++ b/core/src/test/java/org/streamring/kernel/routing/RoutingTestBase.java
@@ -21,7 +21,7 @@
         for (int i = 0; i < 6; i++) {
             servers.add(server("s" + i, "domain-" + i % 3));
         }
-        table.relist(servers);
+        table.updateSubset(servers);
         servers.forEach(server -> table.connected(server.name(), server.name() + "~1"));
     }
 
--- a/core/src/test/java/org/streamring/kernel/suspect/SuspectSimulation.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/SuspectSimulation.java
@@ -176,7 +176,7 @@
     }
 
     private void send(Entry entry, RequestDigest request, long durationMillis, int number) {
-        if (!entry.table.decide(request, now).sends()) {
+        if (!entry.table.decide(request, now).maySend()) {
             countRefusal(request);
             return;
         }
@@ -256,7 +256,7 @@
     }
 
     private void scheduleUrgentReport(Entry entry) {
-        if (entry.table.hasNews()) {
+        if (entry.table.hasUrgentChanges()) {
             scheduleReport(entry);
         }
     }
@@ -290,7 +290,7 @@
             if (now < entry.cutUntil) {
                 scheduleReceipt(entry, report);
             } else {
-                entry.table.heard(report, now);
+                entry.table.merge(report, now);
                 scheduleUrgentReport(entry);
             }
         });
@@ -312,7 +312,7 @@
             if (number == entry.number) {
                 entry.table.resume(report, now);
             } else {
-                entry.table.heard(report, now);
+                entry.table.merge(report, now);
             }
         });
     }
--- a/core/src/test/java/org/streamring/kernel/suspect/SuspectTableTest.java
+++ b/core/src/test/java/org/streamring/kernel/suspect/SuspectTableTest.java
@@ -29,7 +29,7 @@
     public void aRequestIsBlockedAfterThreeServersEndedUnderIt() {
         crash(table, "s-1@1", 0);
         crash(table, "s-2@1", 100);
-        assertThat(table.decide(REQUEST, 200).sends()).isTrue();
+        assertThat(table.decide(REQUEST, 200).maySend()).isTrue();
         crash(table, "s-1@2", 200);
         assertThat(table.decide(REQUEST, 201)).isEqualTo(new SuspectDecision(false, 3, 59_999));
         assertThat(events).containsExactly("blocked request 3");
@@ -40,9 +40,9 @@
         crash(table, "s-1@1", 0);
         crash(table, "s-2@1", 100);
         table.brokeOff(REQUEST, "s-3@1", table.sent(REQUEST), 200);
-        assertThat(table.decide(REQUEST, 201).sends()).isFalse();
+        assertThat(table.decide(REQUEST, 201).maySend()).isFalse();
         table.refuted("s-3@1");
-        assertThat(table.decide(REQUEST, 202).sends()).isTrue();
+        assertThat(table.decide(REQUEST, 202).maySend()).isTrue();
         assertThat(table.report().crashes()).containsOnlyKeys("s-1@1", "s-2@1");
     }
 
@@ -52,9 +52,9 @@
         for (int server = 0; server < 4; server++) {
             table.brokeOff(REQUEST, "s-" + server + "@1", round, 0);
         }
-        assertThat(table.decide(REQUEST, 1).sends()).isTrue();
+        assertThat(table.decide(REQUEST, 1).maySend()).isTrue();
         crash(table, "s-5@1", 1_000);
-        assertThat(table.decide(REQUEST, 1_001).sends())
+        assertThat(table.decide(REQUEST, 1_001).maySend())
                 .as("one more server ended in a later round")
                 .isFalse();
     }
@@ -67,23 +67,23 @@
         for (int server = 3; server < 9; server++) {
             crash(table, "s-" + server + "@1", 300);
         }
-        assertThat(table.decide(REQUEST, 400).sends()).isTrue();
+        assertThat(table.decide(REQUEST, 400).maySend()).isTrue();
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@2", 200 + LIMITS.answerMillis());
         }
-        assertThat(table.decide(REQUEST, 31_000).sends()).isFalse();
+        assertThat(table.decide(REQUEST, 31_000).maySend()).isFalse();
     }
 
     @Test
     public void crashesObservedByDifferentEntriesAddUp() {
         crash(table, "s-1@1", 0);
-        otherEntry.heard(table.report(), 50);
+        otherEntry.merge(table.report(), 50);
         crash(otherEntry, "s-2@1", 100);
-        table.heard(otherEntry.report(), 150);
+        table.merge(otherEntry.report(), 150);
         crash(table, "s-3@1", 200);
-        otherEntry.heard(table.report(), 250);
-        assertThat(otherEntry.decide(REQUEST, 300).sends()).isFalse();
-        otherEntry.heard(table.report(), 40_000);
+        otherEntry.merge(table.report(), 250);
+        assertThat(otherEntry.decide(REQUEST, 300).maySend()).isFalse();
+        otherEntry.merge(table.report(), 40_000);
         assertThat(otherEntry.decide(REQUEST, 40_000).retryAfterMillis())
                 .as("report received twice")
                 .isEqualTo(20_250);
@@ -94,11 +94,11 @@
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
-        otherEntry.heard(table.report(), 10);
+        otherEntry.merge(table.report(), 10);
         otherEntry.answered(REQUEST, 20);
-        assertThat(otherEntry.hasNews()).isTrue();
-        table.heard(otherEntry.report(), 30);
-        assertThat(table.decide(REQUEST, 40).sends()).isTrue();
+        assertThat(otherEntry.hasUrgentChanges()).isTrue();
+        table.merge(otherEntry.report(), 30);
+        assertThat(table.decide(REQUEST, 40).maySend()).isTrue();
         assertThat(events).contains("unblocked request");
     }
 
@@ -107,13 +107,13 @@
         for (int server = 1; server <= 3; server++) {
             crash(table, "s-" + server + "@1", 0);
         }
-        otherEntry.heard(table.report(), 0);
-        assertThat(otherEntry.decide(REQUEST, 60_000).sends())
+        otherEntry.merge(table.report(), 0);
+        assertThat(otherEntry.decide(REQUEST, 60_000).maySend())
                 .as("tried at another entry")
                 .isFalse();
-        assertThat(table.decide(REQUEST, 60_000).sends()).isTrue();
+        assertThat(table.decide(REQUEST, 60_000).maySend()).isTrue();
         int round = table.sent(REQUEST);
-        assertThat(table.decide(REQUEST, 60_001).sends()).as("one at a time").isFalse();
+        assertThat(table.decide(REQUEST, 60_001).maySend()).as("one at a time").isFalse();
         table.ended(REQUEST);
         table.brokeOff(REQUEST, "s-4@1", round, 60_100);
         assertThat(table.decide(REQUEST, 60_200).retryAfterMillis()).isEqualTo(119_900);
@@ -151,7 +151,7 @@
             table.brokeOff(new RequestDigest("other-" + number), "s-9@1", 1, number);
         }
         assertThat(table.suspects()).isEqualTo(LIMITS.mostRequests());
-        assertThat(table.decide(REQUEST, 100).sends()).isFalse();
+        assertThat(table.decide(REQUEST, 100).maySend()).isFalse();
     }
 
     @Test
--- a/direct/src/main/java/org/streamring/direct/DirectEntry.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntry.java
@@ -135,7 +135,7 @@
         String incarnation = Incarnation.create(settings.nodeName());
         this.availability =
                 new BackendAvailability(() -> this.settings.drainTime().toMillis(), new AvailabilityLog(log));
-        this.registry = new BackendRegistry(settings.keepLapsed().toMillis(), availability);
+        this.registry = new BackendRegistry(settings.lapsedRetention().toMillis(), availability);
         this.configuration = new ConfigurationFeed(platform.operatorRows(), log, () -> {});
         ColdReplicas cold = new ColdReplicas(settings.nodeName(), this::possiblyLiveEntries);
         EntryMetrics metrics = new EntryMetrics();
@@ -147,7 +147,7 @@
         this.lending = new TokenLending(loop, peers, homeEntries, random, metrics, log);
         this.members = new MemberRegister(
                 loop, platform.store(), settings.nodeName(), incarnation, settings.peers(), clock, otherEntries -> {
-                    homeEntries.others(otherEntries.live().stream()
+                    homeEntries.updatePeers(otherEntries.live().stream()
                             .map(MemberRegister.Member::name)
                             .toList());
                     peers.members(otherEntries);
@@ -293,13 +293,13 @@
     }
 
     private void registerGauges(EntryMetrics metrics) {
-        metrics.gauge("requests.running", callers::busy);
+        metrics.gauge("requests.running", callers::connectionsWithRequest);
         metrics.gauge("link.queued.ms", () -> link.queuedMillis(clock.getAsLong()));
-        metrics.gauge("store.away", () -> tokens.storeAway() ? 1 : 0);
+        metrics.gauge("store.away", () -> tokens.storeUnreachable() ? 1 : 0);
         metrics.gauge("entries.live", members::live);
         metrics.gauge("entries.connected", peers::connected);
-        metrics.gauge("backends.leaving", availability::leavingCount);
-        metrics.gauge("backends.resting", () -> availability.restingCount(clock.getAsLong()));
+        metrics.gauge("backends.leaving", availability::shuttingDownCount);
+        metrics.gauge("backends.resting", () -> availability.backingOffCount(clock.getAsLong()));
         metrics.gauge("backends.limited", permits.coordinator().limits()::count);
         metrics.gauge("suspects", suspects::suspects);
         metrics.gauge("suspects.blocked", suspects::blocked);
@@ -340,7 +340,7 @@
                         "cause",
                         cause,
                         "grace_ms",
-                        read.grace().toMillis());
+                        read.stopGracePeriod().toMillis());
             }
         } catch (SettingsException e) {
             log.line("settings_unreadable", "cause", cause, "reason", String.valueOf(e.getMessage()));
@@ -354,11 +354,11 @@
      */
     CompletableFuture<Void> stop() {
         stopping = true;
-        log.line("stopping", "requests", callers.busy());
+        log.line("stopping", "requests", callers.connectionsWithRequest());
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         stopStartedMillis = clock.getAsLong();
         members.stop();
-        callers.closeUnused();
+        callers.closeConnectionsWithoutRequest();
         loop.schedule(tokens::release, BALANCER_DETECTION_TIME.toMillis(), TimeUnit.MILLISECONDS);
         waitForRequests(stopped);
         return stopped;
@@ -367,15 +367,16 @@
     private void waitForRequests(CompletableFuture<Void> stopped) {
         long elapsed = clock.getAsLong() - stopStartedMillis;
         rejectingAll |= router.runningStreams() == 0 && elapsed >= BALANCER_DETECTION_TIME.toMillis();
-        boolean allFinished = rejectingAll && callers.busy() == 0;
-        boolean timedOut = elapsed >= settings.grace().minus(STOP_MARGIN).toMillis();
+        boolean allFinished = rejectingAll && callers.connectionsWithRequest() == 0;
+        boolean timedOut =
+                elapsed >= settings.stopGracePeriod().minus(STOP_MARGIN).toMillis();
         if (!allFinished && !timedOut) {
             loop.schedule(() -> waitForRequests(stopped), 50, TimeUnit.MILLISECONDS);
             return;
         }
         rejectingAll = true;
-        callers.closeUnused();
-        log.line("stopped", "requests", callers.busy(), "ms", elapsed);
+        callers.closeConnectionsWithoutRequest();
+        log.line("stopped", "requests", callers.connectionsWithRequest(), "ms", elapsed);
         CompletableFuture<Void> returned = tokens.close();
         returned.whenComplete((done, failure) -> stopped.complete(null));
         loop.schedule(() -> stopped.complete(null), 400, TimeUnit.MILLISECONDS);
@@ -387,7 +388,7 @@
             return true;
         }
         long elapsed = clock.getAsLong() - stopStartedMillis;
-        long remaining = settings.grace().minus(STOP_MARGIN).toMillis() - elapsed;
+        long remaining = settings.stopGracePeriod().minus(STOP_MARGIN).toMillis() - elapsed;
         boolean canFinishInTime = route.stream()
                 ? elapsed < BALANCER_DETECTION_TIME.toMillis()
                 : remaining > MIN_TIME_FOR_NEW_CALL.toMillis();
@@ -413,7 +414,7 @@
 
     private void cleanUp() {
         registry.expire(clock.getAsLong()).forEach(id -> log.line("backend_lapsed", "backend", id));
-        fleet.tidy();
+        fleet.removeStale();
         callers.closeIdle();
     }
 }
--- a/direct/src/main/java/org/streamring/direct/DirectEntryMain.java
+++ b/direct/src/main/java/org/streamring/direct/DirectEntryMain.java
@@ -59,7 +59,7 @@
 
     private static void awaitStop(CompletableFuture<Void> stopped, NodeSettings settings) throws InterruptedException {
         try {
-            stopped.get(settings.grace().toMillis(), TimeUnit.MILLISECONDS);
+            stopped.get(settings.stopGracePeriod().toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             System.err.println("shutdown did not complete in time: " + e);
         }
--- a/direct/src/main/java/org/streamring/direct/backend/BackendAttempt.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendAttempt.java
@@ -35,16 +35,16 @@
      *
      * @param millis time in milliseconds within which a healthy backend server starts to answer
      */
-    public Silence silence(long millis) {
-        return connection == null ? Silence.NONE : connection.silence(millis);
+    public Silence checkResponsiveness(long millis) {
+        return connection == null ? Silence.NONE : connection.checkResponsiveness(millis);
     }
 
     /**
      * Returns when data was last received on the connection of this attempt, or when the request was sent if that is
      * later; 0 before the request was sent.
      */
-    public long quietSinceMillis() {
-        return connection == null ? 0 : connection.quietSinceMillis();
+    public long lastReadOrSentMillis() {
+        return connection == null ? 0 : connection.lastReadOrSentMillis();
     }
 
     /** Returns whether the request was written to a connection. */
--- a/direct/src/main/java/org/streamring/direct/backend/BackendConnection.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendConnection.java
@@ -66,12 +66,12 @@
     }
 
     /** Returns {@link Silence#NONE} while reading is paused because the caller reads slowly. */
-    Silence silence(long millis) {
-        return paused ? Silence.NONE : pool.silence(this, millis);
+    Silence checkResponsiveness(long millis) {
+        return paused ? Silence.NONE : pool.checkResponsiveness(this, millis);
     }
 
     /** Returns when data was last received for the request in progress, or when that request was sent. */
-    long quietSinceMillis() {
+    long lastReadOrSentMillis() {
         return Math.max(startedMillis, lastReadMillis);
     }
 
--- a/direct/src/main/java/org/streamring/direct/backend/BackendPool.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendPool.java
@@ -76,7 +76,7 @@
      */
     public BackendAttempt begin(BackendRequest request, BooleanSupplier mayBeSent, AttemptListener listener) {
         BackendAttempt attempt = new BackendAttempt(listener);
-        BackendConnection ready = takeIdle(request.freshOnly());
+        BackendConnection ready = takeIdle(request.recentlyUsedOnly());
         if (ready != null) {
             attempt.run(ready, request, clock.getAsLong());
             return attempt;
@@ -93,27 +93,27 @@
      *
      * @param millis time in milliseconds within which a healthy server starts to answer
      */
-    Silence silence(BackendConnection connection, long millis) {
+    Silence checkResponsiveness(BackendConnection connection, long millis) {
         long now = clock.getAsLong();
         boolean serverInactive = now - lastActivityMillis > millis;
         if (serverInactive && open.stream().anyMatch(each -> each.firstRequestUnansweredSince(now - millis))) {
             return Silence.BACKEND;
         }
-        boolean quiet = connection.busy() && now - connection.quietSinceMillis() > millis;
+        boolean quiet = connection.busy() && now - connection.lastReadOrSentMillis() > millis;
         boolean laterRequestAnswered =
-                answers.answeredLaterRequest(connection.urgency(), connection.quietSinceMillis());
+                answers.answeredLaterRequest(connection.urgency(), connection.lastReadOrSentMillis());
         return quiet && (laterRequestAnswered || (serverInactive && connection.reused()))
                 ? Silence.CONNECTION
                 : Silence.NONE;
     }
 
     /** Checks after a broken attempt whether the process of the server has exited, and passes on the result. */
-    public void checkEnded(Consumer<Boolean> then) {
+    public void checkProcessExited(Consumer<Boolean> then) {
         exitCheck.run(then);
     }
 
     /** Closes idle connections that were last used at or before the given time, as they may have failed since. */
-    public void closeIdleUnheardSince(long millis) {
+    public void closeIdleUnusedSince(long millis) {
         idle.removeIf(each -> {
             boolean unusedSince = each.lastUseMillis() <= millis;
             if (unusedSince) {
@@ -124,7 +124,7 @@
     }
 
     /** Closes idle connections whose keep-alive time has passed. */
-    public void closeStale() {
+    public void closeExpiredIdle() {
         long now = clock.getAsLong();
         idle.removeIf(each -> {
             boolean stale = !each.isOpen() || now - each.lastUseMillis() > each.keepAliveMillis();
@@ -167,7 +167,7 @@
     void reportNotices(HttpResponse response, long sentMillis) {
         int status = response.status().code();
         HttpHeaders headers = response.headers();
-        noticeListener.answered(status, notices.read(status, headers), limits.read(headers), sentMillis);
+        noticeListener.onAnswerHead(status, notices.read(status, headers), limits.read(headers), sentMillis);
     }
 
     void returnIdle(BackendConnection connection) {
@@ -179,13 +179,13 @@
         open.remove(connection);
     }
 
-    private @Nullable BackendConnection takeIdle(boolean freshOnly) {
-        closeStale();
+    private @Nullable BackendConnection takeIdle(boolean recentlyUsedOnly) {
+        closeExpiredIdle();
         BackendConnection first = idle.peekFirst();
         if (first == null) {
             return null;
         }
-        if (freshOnly && clock.getAsLong() - first.lastUseMillis() > MAX_FRESH_IDLE_MILLIS) {
+        if (recentlyUsedOnly && clock.getAsLong() - first.lastUseMillis() > MAX_FRESH_IDLE_MILLIS) {
             return null;
         }
         return idle.pollFirst();
--- a/direct/src/main/java/org/streamring/direct/backend/BackendRequest.java
+++ b/direct/src/main/java/org/streamring/direct/backend/BackendRequest.java
@@ -12,7 +12,8 @@
  * @param headers headers without hop-by-hop headers
  * @param body complete body
  * @param urgency urgency from 0, the most urgent, to 9
- * @param freshOnly whether only a recently used idle connection may be reused, because the request is not repeatable
+ * @param recentlyUsedOnly whether only a recently used idle connection may be reused, because the request is not
+ *     repeatable
  */
 @SuppressWarnings("ArrayRecordComponent") // the array is passed on without a copy
 public record BackendRequest(
@@ -22,4 +23,4 @@
         HttpHeaders headers,
         byte[] body,
         int urgency,
-        boolean freshOnly) {}
+        boolean recentlyUsedOnly) {}
--- a/direct/src/main/java/org/streamring/direct/backend/NoticeListener.java
+++ b/direct/src/main/java/org/streamring/direct/backend/NoticeListener.java
@@ -11,5 +11,5 @@
      * @param limit limit that the server announces for the requests of all entries together
      * @param sentMillis when the request of the answer was sent; 0 if that is not known
      */
-    void answered(int status, BackendNotice notice, LimitWord limit, long sentMillis);
+    void onAnswerHead(int status, BackendNotice notice, LimitWord limit, long sentMillis);
 }
--- a/direct/src/main/java/org/streamring/direct/caller/CallerConnection.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerConnection.java
@@ -231,7 +231,7 @@
 
         @Override
         public boolean callerPresent() {
-            return ArrivedBytes.leaveOpen(channel());
+            return ArrivedBytes.isOpenAfterReading(channel());
         }
 
         private void setConnectionHeader(HttpHeaders headers) {
--- a/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
+++ b/direct/src/main/java/org/streamring/direct/caller/CallerServer.java
@@ -52,12 +52,12 @@
     }
 
     /** Closes connections without a request in progress. */
-    public void closeUnused() {
+    public void closeConnectionsWithoutRequest() {
         List.copyOf(connections).forEach(CallerConnection::closeIfUnused);
     }
 
     /** Returns the number of connections with a request in progress. */
-    public long busy() {
+    public long connectionsWithRequest() {
         return connections.stream().filter(CallerConnection::busy).count();
     }
 
--- a/direct/src/main/java/org/streamring/direct/feed/BackendFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/BackendFeed.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void listed(List<StoredRow> list) {
+    public void onList(List<StoredRow> list) {
         loaded = true;
         List<BackendInstance> instances = new ArrayList<>();
         List<String> malformed = new ArrayList<>();
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void changed(StoredRow row) {
+    public void onChange(StoredRow row) {
         if (row.removed()) {
             registry.remove(row.key().key(), clock.getAsLong());
             log.line("backend_gone", "backend", row.key().key(), "version", row.version());
@@ -81,7 +81,7 @@
 
     private void recordInstance(BackendInstance instance) {
         placement.listed(instance);
-        cold.heard(instance.id(), instance.coldMillis(), clock.getAsLong());
+        cold.recordCold(instance.id(), instance.coldMillis(), clock.getAsLong());
     }
 
     private void put(BackendInstance instance, long version) {
@@ -98,7 +98,7 @@
                 "cold_ms",
                 instance.coldMillis(),
                 "born",
-                instance.bornMillis(),
+                instance.startedMillis(),
                 "version",
                 version);
     }
@@ -120,12 +120,12 @@
     }
 
     @Override
-    public void lost(String reason) {
-        registry.listLost();
+    public void onUnreachable(String reason) {
+        registry.setListUnavailable();
     }
 
     @Override
-    public void regained() {
-        registry.listBack(clock.getAsLong());
+    public void onReachable() {
+        registry.listRestored(clock.getAsLong());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/feed/ConfigurationFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/ConfigurationFeed.java
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public void listed(List<StoredRow> list) {
-        list.forEach(this::changed);
+    public void onList(List<StoredRow> list) {
+        list.forEach(this::onChange);
     }
 
     @Override
-    public void changed(StoredRow row) {
+    public void onChange(StoredRow row) {
         if (row.removed()) {
             return;
         }
--- a/direct/src/main/java/org/streamring/direct/feed/EvacuationFeed.java
+++ b/direct/src/main/java/org/streamring/direct/feed/EvacuationFeed.java
@@ -26,15 +26,15 @@
     }
 
     @Override
-    public void listed(List<StoredRow> list) {
+    public void onList(List<StoredRow> list) {
         Set<String> restored = new TreeSet<>(evacuated);
         list.forEach(row -> rows.evacuated(row).ifPresent(restored::remove));
         restored.forEach(domain -> restore(domain, "not_listed"));
-        list.forEach(this::changed);
+        list.forEach(this::onChange);
     }
 
     @Override
-    public void changed(StoredRow row) {
+    public void onChange(StoredRow row) {
         rows.evacuated(row).ifPresent(domain -> {
             if (row.removed()) {
                 restore(domain, "removed_by_" + row.version());
--- a/direct/src/main/java/org/streamring/direct/feed/TableWatch.java
+++ b/direct/src/main/java/org/streamring/direct/feed/TableWatch.java
@@ -59,16 +59,16 @@
     /** Receives the content of the table and its changes. */
     public interface Listener {
         /** Called with all current rows of the table. */
-        void listed(List<StoredRow> rows);
+        void onList(List<StoredRow> rows);
 
         /** Called when a row was written or removed. */
-        void changed(StoredRow row);
+        void onChange(StoredRow row);
 
         /** Called when the store becomes unreachable. Listeners that keep their last state need not override this. */
-        default void lost(String reason) {}
+        default void onUnreachable(String reason) {}
 
         /** Called when the store is reachable again, before its current state is reported. */
-        default void regained() {}
+        default void onReachable() {}
     }
 
     /**
@@ -118,7 +118,7 @@
         listed = true;
         knownVersion = page.version();
         page.rows().forEach(row -> versions.merge(row.key().key(), row.version(), Math::max));
-        listeners.forEach(each -> each.listed(page.rows()));
+        listeners.forEach(each -> each.onList(page.rows()));
         watch();
     }
 
@@ -160,7 +160,7 @@
     }
 
     private void handlePage(RowPage page) {
-        if (page.historyLost()) {
+        if (page.changesMissing()) {
             markReachable();
             listed = false;
             list();
@@ -176,7 +176,7 @@
             long before = versions.getOrDefault(row.key().key(), -1L);
             if (row.version() > before) {
                 versions.put(row.key().key(), row.version());
-                listeners.forEach(each -> each.changed(row));
+                listeners.forEach(each -> each.onChange(row));
             }
         }
         if (afterGap == AfterGap.LIST && holdsOutdatedRows(page.rows())) {
@@ -197,7 +197,7 @@
     private void markReachable() {
         if (unreachable) {
             unreachable = false;
-            listeners.forEach(Listener::regained);
+            listeners.forEach(Listener::onReachable);
         }
     }
 
@@ -205,7 +205,7 @@
         if (!unreachable) {
             unreachable = true;
             String reason = String.valueOf(failure.getMessage());
-            listeners.forEach(each -> each.lost(reason));
+            listeners.forEach(each -> each.onUnreachable(reason));
         }
         scheduleRetry();
     }
--- a/direct/src/main/java/org/streamring/direct/feed/WatchLog.java
+++ b/direct/src/main/java/org/streamring/direct/feed/WatchLog.java
@@ -20,22 +20,22 @@
     }
 
     @Override
-    public void listed(List<StoredRow> rows) {
+    public void onList(List<StoredRow> rows) {
         // logged by the listeners that process the rows
     }
 
     @Override
-    public void changed(StoredRow row) {
+    public void onChange(StoredRow row) {
         // logged by the listeners that process the rows
     }
 
     @Override
-    public void lost(String reason) {
+    public void onUnreachable(String reason) {
         log.line("store_lost", "by", by, "reason", reason);
     }
 
     @Override
-    public void regained() {
+    public void onReachable() {
         log.line("store_regained", "by", by);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/LeaseRenewer.java
@@ -139,7 +139,7 @@
 
     /** Returns the milliseconds until tokens above the usage caps may be used if the store remains unreachable. */
     long silenceTimeoutLeftMillis() {
-        return Math.max(0, ledger.settings().patience().toMillis() - millisSinceConfirmedWrite());
+        return Math.max(0, ledger.settings().silenceTimeout().toMillis() - millisSinceConfirmedWrite());
     }
 
     /** Returns the milliseconds for which the usage caps have been rising since the last confirmed write. */
@@ -155,7 +155,7 @@
 
     /** Stops taking tokens, and from now on returns those that no request uses or waits for. */
     void release() {
-        ledger.stopTaking();
+        ledger.releaseUnused();
         renewSoon();
     }
 
@@ -279,7 +279,7 @@
         }
         PrepaidLedger.Proposal proposal = homeEntries.isHome(account)
                 ? ledger.plan(account, rowToWrite, homeEntries.of(account).size(), homeEntries.shape())
-                : ledger.planBorrower(account, rowToWrite);
+                : ledger.planNonHome(account, rowToWrite);
         return rowToWrite.equals(row) ? proposal : proposal.orElseWrite(rowToWrite);
     }
 
@@ -288,7 +288,7 @@
         Map<String, Mark> usageCaps = new HashMap<>();
         for (PrepaidLedger.Proposal proposal : proposals) {
             proposal.row().ifPresent(row -> changed.put(proposal.account(), row));
-            usageCaps.put(proposal.account(), proposal.mark());
+            usageCaps.put(proposal.account(), proposal.cap());
         }
         Set<String> witnessIds = witnesses.choose(ledger.witnesses().usable());
         proposals.forEach(ledger::proposed);
@@ -302,7 +302,7 @@
                 new MarkRow(ledger.incarnation(), start.storeMillis(), usageCaps, witnessIds, releaseMillis);
         return commit(changed, usageCapRow).whenComplete((committed, failure) -> {
             if (failure != null) {
-                boolean nothingDone = failure instanceof StoreException store && store.nothingDone();
+                boolean nothingDone = failure instanceof StoreException store && store.hasNoEffect();
                 notConfirmed(proposals, nothingDone);
             } else {
                 if (committed) {
@@ -329,10 +329,10 @@
             ledger.release().refused();
             rise.refused();
         } else {
-            proposals.forEach(ledger::unanswered);
-            ledger.witnesses().unanswered();
-            ledger.release().unanswered();
-            rise.unanswered();
+            proposals.forEach(ledger::outcomeUnknown);
+            ledger.witnesses().outcomeUnknown();
+            ledger.release().outcomeUnknown();
+            rise.outcomeUnknown();
         }
     }
 
@@ -420,7 +420,7 @@
 
     private void updateStoreSilence() {
         long now = clock.getAsLong();
-        ledger.storeSilentFor(
+        ledger.setTimeSinceConfirmedWrite(
                 now - rise.usable().localMillis(), now - rise.inForce().localMillis());
     }
 }
--- a/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/PredecessorLeases.java
@@ -104,10 +104,10 @@
             return ledger.reclaim(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
         }
         if (!usageCaps.witnesses().isEmpty() && reports.keySet().containsAll(usageCaps.witnesses())) {
-            return PrepaidLedger.reclaimNoted(account, row, usageCaps, highestRecorded(usageCaps));
+            return PrepaidLedger.reclaimUnrecorded(account, row, usageCaps, highestRecorded(usageCaps));
         }
         if (noMoreReportsExpected(usageCaps)) {
-            return ledger.reclaimReleased(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
+            return ledger.reclaimUnreleased(account, row, usageCaps, endStoreMillis() + MAX_CLOCK_DRIFT_MILLIS);
         }
         return Optional.empty();
     }
@@ -130,8 +130,8 @@
     }
 
     private boolean endedBeforeSilenceTimeout(MarkRow usageCaps) {
-        long silenceTimeout = ledger.settings().patience().toMillis() - MAX_CLOCK_DRIFT_MILLIS;
-        return usageCaps.heldBy(endStoreMillis(), silenceTimeout);
+        long silenceTimeout = ledger.settings().silenceTimeout().toMillis() - MAX_CLOCK_DRIFT_MILLIS;
+        return usageCaps.stayedWithinCaps(endStoreMillis(), silenceTimeout);
     }
 
     /** Logs the leases that a committed write reclaimed. */
--- a/direct/src/main/java/org/streamring/direct/ledger/PrepaidRowCodec.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/PrepaidRowCodec.java
@@ -83,13 +83,13 @@
                 generator.writeString(witness);
             }
             generator.writeEndArray();
-            for (Map.Entry<String, Mark> cap : usageCaps.marks().entrySet()) {
+            for (Map.Entry<String, Mark> cap : usageCaps.caps().entrySet()) {
                 generator.writeString(cap.getKey());
                 generator.writeNumber(cap.getValue().start());
                 generator.writeNumber(cap.getValue().atOnce());
-                generator.writeNumber(cap.getValue().atPatience());
+                generator.writeNumber(cap.getValue().atSilenceTimeout());
             }
-            generator.writeNumber(usageCaps.coverMillis());
+            generator.writeNumber(usageCaps.fullReleaseMillis());
             generator.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/direct/src/main/java/org/streamring/direct/ledger/TokenAllocator.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/TokenAllocator.java
@@ -118,7 +118,7 @@
                 renewer,
                 usageRecorder,
                 lenders,
-                account -> PrepaidLedger.kept(row(account).limit(), entries.getAsInt()),
+                account -> PrepaidLedger.idleAllowance(row(account).limit(), entries.getAsInt()),
                 this::serveWaiters,
                 log);
     }
@@ -133,7 +133,7 @@
     }
 
     /** Returns whether the store is currently not answering. */
-    public boolean storeAway() {
+    public boolean storeUnreachable() {
         return renewer.storeUnreachable();
     }
 
@@ -162,7 +162,7 @@
         }
         Waiter waiter = new Waiter(account, tokens, then);
         waiters.add(waiter);
-        if (ledger.noteWouldHelp(account, tokens)) {
+        if (ledger.recordWouldHelp(account, tokens)) {
             waiter.waitForWitness();
         } else if (renewer.storeUnreachable() || !homeEntries.isHome(account)) {
             waiter.borrow();
--- a/direct/src/main/java/org/streamring/direct/ledger/TokenLender.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/TokenLender.java
@@ -78,7 +78,7 @@
     public void lend(String account, long asked, Consumer<Lenders.Loan> then) {
         if (ledger.available(account) >= asked) {
             then.accept(lendNow(account, asked));
-        } else if (ledger.noteWouldHelp(account, asked)) {
+        } else if (ledger.recordWouldHelp(account, asked)) {
             new PendingLoan(account, asked, then).waitFor(WITNESS_ROUND_TRIP_MILLIS);
             usageRecorder.sendNow();
         } else if (renewer.storeUnreachable() || !homeEntries.isHome(account)) {
@@ -118,7 +118,7 @@
     private void returnIdle() {
         for (String account : ledger.accounts()) {
             if (!homeEntries.isHome(account) && lenders.canReturn(account)) {
-                long idle = ledger.giveUpIdle(account, idleAllowance.applyAsLong(account));
+                long idle = ledger.takeIdleForReturn(account, idleAllowance.applyAsLong(account));
                 if (idle > 0) {
                     lenders.giveBack(account, idle);
                     log.line("tokens_returned", "account", account, "tokens", idle);
@@ -152,7 +152,7 @@
                 "usable",
                 state.usable(),
                 "usable_once_noted",
-                state.usableOnceNoted(),
+                state.usableOnceRecorded(),
                 "waiting",
                 state.waiting(),
                 "patience_left_ms",
--- a/direct/src/main/java/org/streamring/direct/ledger/UsageRecorder.java
+++ b/direct/src/main/java/org/streamring/direct/ledger/UsageRecorder.java
@@ -36,13 +36,13 @@
     }
 
     private void sendIfNeeded() {
-        if (!ledger.needsNotes()) {
+        if (!ledger.needsUsageRecords()) {
             return;
         }
-        Map<String, Long> tokens = ledger.wantedNotes();
+        Map<String, Long> tokens = ledger.tokensToRecord();
         Set<String> witnessIds = ledger.witnesses().usable();
         witnesses.note(witnessIds, tokens, witness -> {
-            ledger.noted(witness, tokens);
+            ledger.addRecordedByWitness(witness, tokens);
             onRecorded.run();
         });
     }
--- a/direct/src/main/java/org/streamring/direct/metrics/EntryMetrics.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/EntryMetrics.java
@@ -57,7 +57,7 @@
     }
 
     /** Counts a lost connection to another entry, by reason. */
-    public void peerLost(String reason) {
+    public void peerConnectionLost(String reason) {
         Counter.builder("streamring.direct.peer.lost")
                 .tag("reason", reason)
                 .register(registry)
@@ -88,7 +88,7 @@
     }
 
     /** Counts a request to a lender, by whether it was answered in time. */
-    public void lenderAsked(boolean answered) {
+    public void lenderRequestEnded(boolean answered) {
         Counter.builder("streamring.direct.lender.asked")
                 .tag("answered", String.valueOf(answered))
                 .register(registry)
--- a/direct/src/main/java/org/streamring/direct/metrics/EventLoopDelayMonitor.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/EventLoopDelayMonitor.java
@@ -45,7 +45,7 @@
         long now = clock.getAsLong();
         long delay = Math.max(0, now - due);
         metrics.loopDelay(delay);
-        delayDetector.ran(delay, now).ifPresent(this::log);
+        delayDetector.recordDelay(delay, now).ifPresent(this::log);
         linkBacklogMonitor.check();
         start();
     }
--- a/direct/src/main/java/org/streamring/direct/metrics/LinkBacklogMonitor.java
+++ b/direct/src/main/java/org/streamring/direct/metrics/LinkBacklogMonitor.java
@@ -8,7 +8,7 @@
 /** Logs when this box's network link becomes full or free and which traffic filled it. Confined to the event loop. */
 public final class LinkBacklogMonitor {
     /** Above this queueing time, requests are held back. */
-    private static final long FULL_MILLIS = LinkBacklog.MOST_QUEUED_MILLIS;
+    private static final long FULL_MILLIS = LinkBacklog.MAX_QUEUED_MILLIS;
 
     private static final long INTERVAL_MILLIS = 1_000;
 
--- a/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
+++ b/direct/src/main/java/org/streamring/direct/peer/EntryPeers.java
@@ -94,7 +94,7 @@
     }
 
     /** Sends a frame to each connected entry. */
-    public void tellAll(Frame frame) {
+    public void sendToAll(Frame frame) {
         byEntry().values().forEach(peer -> peer.send(frame));
     }
 
@@ -182,7 +182,7 @@
         @Override
         public void disconnected(PeerConnection connection, DisconnectReason reason) {
             connections.remove(connection);
-            metrics.peerLost(reason.name());
+            metrics.peerConnectionLost(reason.name());
             log.line("peer_lost", "peer", connection.remote().name(), "reason", reason);
         }
     }
--- a/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PermitExchange.java
@@ -20,8 +20,8 @@
 import org.streamring.net.peer.PeerConnection;
 
 /**
- * Sends permit requests of {@link PermitCoordinator}, their answers and limit updates between entries. Confined to the event
- * loop.
+ * Sends permit requests of {@link PermitCoordinator}, their answers and limit updates between entries. Confined to the
+ * event loop.
  */
 public final class PermitExchange implements PermitLink {
     /** Interval at which the live and the connected entries are updated. */
@@ -79,27 +79,27 @@
         long now = clock.getAsLong();
         coordinator.entries(owners.get(), peers.connectedEntries(), now);
         if (now - usageSinceMillis >= USAGE_INTERVAL_MILLIS) {
-            coordinator.takeUse(usageSinceMillis, now).forEach(metrics::limitUsed);
+            coordinator.takeUsage(usageSinceMillis, now).forEach(metrics::limitUsed);
             usageSinceMillis = now;
         }
     }
 
     @Override
-    public void ask(String entry, long number, PermitAsk permitRequest) {
+    public void sendRequest(String entry, long number, PermitAsk permitRequest) {
         Wire.PermitAsk request = Wire.PermitAsk.newBuilder()
                 .setQuery(number)
-                .setNews(encode(permitRequest.news()))
+                .setNews(encode(permitRequest.update()))
                 .setWanted(permitRequest.wanted())
                 .build();
         send(entry, Frame.newBuilder().setPermitAsk(request).build());
         loop.schedule(
-                () -> coordinator.goOnWithUnanswered(clock.getAsLong()),
+                () -> coordinator.retryTimedOut(clock.getAsLong()),
                 PermitCoordinator.TIMEOUT_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public void tell(String entry, LimitNews update) {
+    public void sendUpdate(String entry, LimitNews update) {
         send(entry, Frame.newBuilder().setLimitNews(encode(update)).build());
     }
 
@@ -108,7 +108,7 @@
                 .setIncarnation(update.incarnation())
                 .setPerSecond(update.perSecond())
                 .setSentAgeMillis(update.sentAgeMillis())
-                .setHeardAgeMillis(update.heardAgeMillis())
+                .setHeardAgeMillis(update.receivedAgeMillis())
                 .build();
     }
 
@@ -144,7 +144,8 @@
         }
         if (frame.hasLimitNews()) {
             decode(connection, frame.getLimitNews())
-                    .ifPresent(update -> coordinator.told(connection.remote().name(), update, now));
+                    .ifPresent(update ->
+                            coordinator.applyUpdate(connection.remote().name(), update, now));
         }
     }
 
@@ -154,7 +155,7 @@
             return;
         }
         PermitAsk permitRequest = new PermitAsk(update.get(), Math.max(1, request.getWanted()));
-        PermitGrant grant = coordinator.asked(connection.remote().name(), permitRequest, now);
+        PermitGrant grant = coordinator.answerRequest(connection.remote().name(), permitRequest, now);
         PermitAnswer answer = PermitAnswer.newBuilder()
                 .setQuery(request.getQuery())
                 .setGranted(grant.count())
--- a/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
+++ b/direct/src/main/java/org/streamring/direct/peer/PlacementExchange.java
@@ -132,8 +132,8 @@
         List<PeerConnection> targets = peers.loadReportTargets();
         targets.forEach(each -> each.send(frame));
         long bytes = (long) frame.getSerializedSize() * targets.size();
-        rateLimiter.told(bytes, clock.getAsLong());
-        linkBacklog.written(Traffic.REPORTS, bytes, clock.getAsLong());
+        rateLimiter.recordReport(bytes, clock.getAsLong());
+        linkBacklog.addBytes(Traffic.REPORTS, bytes, clock.getAsLong());
     }
 
     private void removeSilentEntries() {
@@ -151,7 +151,7 @@
         if (frame.hasPlacementLoad()) {
             String entry = connection.remote().name();
             lastReportMillis.put(entry, clock.getAsLong());
-            table.reported(entry, decode(frame.getPlacementLoad()), memoryOf, clock.getAsLong());
+            table.applyReport(entry, decode(frame.getPlacementLoad()), memoryOf, clock.getAsLong());
         }
     }
 
@@ -162,7 +162,7 @@
                 .forEach((id, share) -> load.addReplicas(ReplicaLoad.newBuilder()
                         .setReplica(id)
                         .setRunning(share.running())
-                        .setUnreadTokens(share.unreadTokens())
+                        .setUnreadTokens(share.pendingPromptTokens())
                         .setWeightOfStreams((float) share.weightOfStreams())
                         .setRecentPauses((float) share.recentPauses())));
         report.prompts().forEach(sentPrompt -> load.addPrompts(encode(sentPrompt)));
--- a/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
+++ b/direct/src/main/java/org/streamring/direct/peer/TokenLending.java
@@ -176,7 +176,7 @@
     private void continueRound(long queryId) {
         LoanQuery query = openQueries.get(queryId);
         if (query != null && query.continueOnce()) {
-            metrics.lenderAsked(false);
+            metrics.lenderRequestEnded(false);
         }
     }
 
@@ -221,7 +221,7 @@
         if (query != null) {
             query.answered.accept(new Loan(answer.getTokens(), answer.getMoreSoon()));
             if (query.continueOnce()) {
-                metrics.lenderAsked(true);
+                metrics.lenderRequestEnded(true);
             }
         }
     }
--- a/direct/src/main/java/org/streamring/direct/peer/UsageWitnesses.java
+++ b/direct/src/main/java/org/streamring/direct/peer/UsageWitnesses.java
@@ -134,7 +134,7 @@
     }
 
     private void keepRecord(PeerConnection connection, UseNote note) {
-        if (keptRecords.note(connection.remote().incarnation(), decode(note.getTokensList()))) {
+        if (keptRecords.add(connection.remote().incarnation(), decode(note.getTokensList()))) {
             UseNoted noted = UseNoted.newBuilder().setNumber(note.getNumber()).build();
             connection.send(Frame.newBuilder().setUseNoted(noted).build());
         }
--- a/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
+++ b/direct/src/main/java/org/streamring/direct/request/AttemptRun.java
@@ -126,9 +126,9 @@
         if (finished || waiting == null || mayStillReadPrompt()) {
             return;
         }
-        Silence silence = waiting.silence(SILENCE_TIMEOUT_MILLIS);
+        Silence silence = waiting.checkResponsiveness(SILENCE_TIMEOUT_MILLIS);
         if (silence == Silence.CONNECTION) {
-            services.fleet().closeIdleLastUsedBy(waiting.quietSinceMillis());
+            services.fleet().closeIdleLastUsedBy(waiting.lastReadOrSentMillis());
         }
         if (silence != Silence.NONE && plan.route().repeatable()) {
             endSilentAttempt(waiting, silence);
@@ -161,7 +161,7 @@
 
     @Override
     public void onData(byte[] data) {
-        services.link().written(Traffic.ANSWERS, data.length, services.clock().getAsLong());
+        services.link().addBytes(Traffic.ANSWERS, data.length, services.clock().getAsLong());
         if (!streaming) {
             body.writeBytes(data);
             return;
--- a/direct/src/main/java/org/streamring/direct/request/AvailabilityLog.java
+++ b/direct/src/main/java/org/streamring/direct/request/AvailabilityLog.java
@@ -20,12 +20,12 @@
     }
 
     @Override
-    public void rests(String incarnation, long restMillis) {
-        log.line("backend_rests", "backend", incarnation, "rest_ms", restMillis);
+    public void backOffStarted(String incarnation, long backOffMillis) {
+        log.line("backend_rests", "backend", incarnation, "rest_ms", backOffMillis);
     }
 
     @Override
-    public void rested(String incarnation) {
+    public void backOffEnded(String incarnation) {
         log.line("backend_rested", "backend", incarnation);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/BackendFleet.java
+++ b/direct/src/main/java/org/streamring/direct/request/BackendFleet.java
@@ -113,8 +113,8 @@
         List<BackendInstance> accepting = acceptingInstances(service.name(), now);
         accepting.forEach(instance -> permits.wanted(instance.incarnation(), now));
         List<BackendInstance> ready = accepting.stream()
-                .filter(instance -> limits.takes(instance.incarnation(), now))
-                .filter(instance -> cold.takes(instance.id(), limit, now))
+                .filter(instance -> limits.mayBePlaced(instance.incarnation(), now))
+                .filter(instance -> cold.mayPlace(instance.id(), limit, now))
                 .toList();
         List<BackendInstance> due = ready.stream()
                 .filter(instance -> limits.isDue(instance.incarnation(), now))
@@ -127,13 +127,13 @@
     private List<BackendInstance> acceptingInstances(String service, long now) {
         List<BackendInstance> instances = registry.inService(service);
         List<BackendInstance> accepting = instances.stream()
-                .filter(instance -> availability.takes(instance.incarnation(), now))
+                .filter(instance -> availability.isAvailable(instance.incarnation(), now))
                 .toList();
         if (!accepting.isEmpty()) {
             return accepting;
         }
         return instances.stream()
-                .filter(instance -> availability.takesAsLast(instance.incarnation(), now))
+                .filter(instance -> availability.isAvailableAsLastResort(instance.incarnation(), now))
                 .toList();
     }
 
@@ -144,7 +144,7 @@
         List<BackendInstance> accepting = acceptingInstances(service, now);
         if (!accepting.isEmpty()) {
             long limitedMillis = accepting.stream()
-                    .mapToLong(instance -> limits.turnMillis(instance.incarnation(), now))
+                    .mapToLong(instance -> limits.millisUntilPlaceable(instance.incarnation(), now))
                     .min()
                     .getAsLong();
             return limitedMillis == 0 ? ServiceUnavailability.AVAILABLE : ServiceUnavailability.limited(limitedMillis);
@@ -153,8 +153,8 @@
             return ServiceUnavailability.AVAILABLE;
         }
         return ServiceUnavailability.backingOff(instances.stream()
-                .filter(registry::stays)
-                .mapToLong(instance -> availability.restLeftMillis(instance.incarnation(), now))
+                .filter(registry::isOpenAndRunning)
+                .mapToLong(instance -> availability.remainingBackOffMillis(instance.incarnation(), now))
                 .min()
                 .orElse(WaitQuery.NEVER));
     }
@@ -195,7 +195,7 @@
                         destination.address(),
                         headers,
                         clock,
-                        took -> boxDelay.connecting(instance.id(), took, clock.getAsLong()),
+                        took -> boxDelay.recordConnectTime(instance.id(), took, clock.getAsLong()),
                         (status, notice, limit, sentMillis) ->
                                 answered(destination.incarnation(), status, notice, limit, sentMillis)));
     }
@@ -210,7 +210,7 @@
 
     /** Whether this box itself is delayed, so that slow connections are not counted against the replicas. */
     boolean isLocalBoxDelayed() {
-        return boxDelay.late(clock.getAsLong());
+        return boxDelay.isDelayed(clock.getAsLong());
     }
 
     /** Returns the retry budget of a service. */
@@ -233,18 +233,18 @@
      * silent at the same time; if they were tried one after the other, each would delay a request by a second.
      */
     void closeIdleLastUsedBy(long lastUsedMillis) {
-        pools.values().forEach(pool -> pool.closeIdleUnheardSince(lastUsedMillis));
+        pools.values().forEach(pool -> pool.closeIdleUnusedSince(lastUsedMillis));
     }
 
     /** Drops the state of replicas that no longer exist, and connections that were idle for too long. */
-    public void tidy() {
+    public void removeStale() {
         Set<String> ids = new HashSet<>();
         Set<String> incarnations = new HashSet<>();
         Set<Destination> staying = new HashSet<>();
         for (BackendInstance instance : registry.all()) {
             ids.add(instance.id());
             incarnations.add(instance.incarnation());
-            if (registry.stays(instance)) {
+            if (registry.isOpenAndRunning(instance)) {
                 staying.add(Destination.of(instance));
             }
         }
@@ -254,7 +254,7 @@
         permits.forgetGone(incarnations, clock.getAsLong());
         pools.entrySet().removeIf(entry -> {
             if (staying.contains(entry.getKey())) {
-                entry.getValue().closeStale();
+                entry.getValue().closeExpiredIdle();
                 return false;
             }
             entry.getValue().closeIdle();
--- a/direct/src/main/java/org/streamring/direct/request/CrashSuspectGuard.java
+++ b/direct/src/main/java/org/streamring/direct/request/CrashSuspectGuard.java
@@ -51,16 +51,16 @@
         int requests = ended ? table.confirmed(server, clock.getAsLong()) : table.refuted(server);
         if (requests > 0) {
             log.line("server_end_checked", "server", server, "ended", ended, "requests", requests);
-            exchange.tellNews();
+            exchange.scheduleReport();
         }
     }
 
     /** Whether a server may have crashed: one that is shutting down or is no longer listed ends for another reason. */
     private boolean mayHaveCrashed(BackendInstance instance) {
         boolean listed = registry.find(instance.id())
-                .filter(known -> !registry.leaves(known))
+                .filter(known -> !registry.isShuttingDown(known))
                 .isPresent();
-        return listed && !registry.leaves(instance);
+        return listed && !registry.isShuttingDown(instance);
     }
 
     /** Guard state of one request. */
@@ -83,7 +83,7 @@
         /** Returns the time until a retry if the request must not be sent; empty if it may be sent. */
         Optional<Duration> refusalRetryAfter() {
             Optional<SuspectDecision> refusal =
-                    digest.map(each -> table.decide(each, clock.getAsLong())).filter(decision -> !decision.sends());
+                    digest.map(each -> table.decide(each, clock.getAsLong())).filter(decision -> !decision.maySend());
             refusal.ifPresent(this::log);
             return refusal.map(decision -> Duration.ofMillis(decision.retryAfterMillis()));
         }
@@ -118,7 +118,7 @@
         /** Called when the attempt returned the complete answer. */
         void answered() {
             digest.ifPresent(each -> table.answered(each, clock.getAsLong()));
-            exchange.tellNews();
+            exchange.scheduleReport();
         }
 
         /** Called when the attempt broke off; checks whether the process of the server has ended. */
@@ -128,7 +128,7 @@
             }
             String server = instance.incarnation();
             if (table.brokeOff(digest.get(), server, round, clock.getAsLong())) {
-                pool.checkEnded(ended -> serverEndChecked(server, ended));
+                pool.checkProcessExited(ended -> serverEndChecked(server, ended));
             }
         }
     }
--- a/direct/src/main/java/org/streamring/direct/request/LinkUsage.java
+++ b/direct/src/main/java/org/streamring/direct/request/LinkUsage.java
@@ -21,16 +21,16 @@
 
     /** Returns the milliseconds until the request may be sent; 0 if it may be sent now. */
     long closedMillis() {
-        return link.closedMillis(bytes, clock.getAsLong());
+        return link.delayMillis(bytes, clock.getAsLong());
     }
 
     /** Counts the bytes of the request, which is about to be sent. */
     void acquire() {
-        link.written(Traffic.REQUESTS, bytes, clock.getAsLong());
+        link.addBytes(Traffic.REQUESTS, bytes, clock.getAsLong());
     }
 
     /** Takes the bytes out of the count, as the request was not sent. */
     void release() {
-        link.notWritten(Traffic.REQUESTS, bytes);
+        link.subtractBytes(Traffic.REQUESTS, bytes);
     }
 }
--- a/direct/src/main/java/org/streamring/direct/request/SendCheck.java
+++ b/direct/src/main/java/org/streamring/direct/request/SendCheck.java
@@ -21,7 +21,7 @@
         this.limits = limits;
         this.clock = clock;
         this.incarnation = incarnation;
-        this.lastResort = availability.isLeaving(incarnation);
+        this.lastResort = availability.isShuttingDown(incarnation);
         this.permit = limits.place(incarnation, clock.getAsLong());
     }
 
--- a/direct/src/main/java/org/streamring/direct/request/SlotQueue.java
+++ b/direct/src/main/java/org/streamring/direct/request/SlotQueue.java
@@ -45,9 +45,10 @@
     /**
      * Decides whether a request that found no free slot waits or is refused.
      *
-     * @param closedMillis time until any replica accepts requests, as in {@link WaitQuery}
+     * @param unavailableMillis time until any replica accepts requests, as in {@link WaitQuery}
      */
-    WaitDecision decide(Waiting request, long waitedMillis, Duration target, long deadlineMillis, long closedMillis) {
+    WaitDecision decide(
+            Waiting request, long waitedMillis, Duration target, long deadlineMillis, long unavailableMillis) {
         long now = clock.getAsLong();
         return policy.decide(new WaitQuery(
                 waitedMillis,
@@ -55,7 +56,7 @@
                 deadlineMillis - now,
                 requestsAhead(request),
                 releaseRate.perMilli(now),
-                closedMillis));
+                unavailableMillis));
     }
 
     private int requestsAhead(Waiting request) {
@@ -69,7 +70,7 @@
 
     /** Records that an attempt ended and released its slot. */
     void slotReleased() {
-        releaseRate.freed(clock.getAsLong());
+        releaseRate.recordRelease(clock.getAsLong());
     }
 
     void add(Waiting request) {
