--- a/direct/src/main/java/org/streamring/direct/suspect/SuspectExchange.java
+++ b/direct/src/main/java/org/streamring/direct/suspect/SuspectExchange.java
@@ -77,8 +77,8 @@
     }
 
     /** Schedules a report to the other entries if there are changes that have to be sent at once. */
-    public void tellNews() {
-        if (table.hasNews() && !reportScheduled) {
+    public void scheduleReport() {
+        if (table.hasUrgentChanges() && !reportScheduled) {
             reportScheduled = true;
             loop.schedule(this::sendReport, REPORT_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
@@ -87,7 +87,7 @@
     private void sendReport() {
         reportScheduled = false;
         String report = codec.write(table.report());
-        peers.tellAll(Frame.newBuilder()
+        peers.sendToAll(Frame.newBuilder()
                 .setSuspectNews(SuspectNews.newBuilder().setReport(report))
                 .build());
         writePending = true;
@@ -103,8 +103,8 @@
             log.line("frame_unreadable", "peer", connection.remote().name());
             return;
         }
-        table.heard(report.get(), clock.getAsLong());
-        tellNews();
+        table.merge(report.get(), clock.getAsLong());
+        scheduleReport();
     }
 
     private void tick() {
@@ -141,16 +141,16 @@
     }
 
     @Override
-    public void listed(List<StoredRow> rows) {
+    public void onList(List<StoredRow> rows) {
         rows.forEach(this::readRow);
         listed = true;
-        tellNews();
+        scheduleReport();
     }
 
     @Override
-    public void changed(StoredRow row) {
+    public void onChange(StoredRow row) {
         readRow(row);
-        tellNews();
+        scheduleReport();
     }
 
     private void readRow(StoredRow row) {
@@ -165,7 +165,7 @@
         if (report.isEmpty()) {
             log.line("row_unreadable", "table", TABLE, "row", row.key().key());
         } else if (!own) {
-            table.heard(report.get(), clock.getAsLong());
+            table.merge(report.get(), clock.getAsLong());
         } else if (!listed) {
             table.resume(report.get(), clock.getAsLong());
         }
--- a/direct/src/test/java/org/streamring/direct/backend/NoticeReaderTest.java
+++ b/direct/src/test/java/org/streamring/direct/backend/NoticeReaderTest.java
@@ -35,7 +35,7 @@
 
     @Test(dataProvider = "retryAfterValues")
     public void retryAfterIsReadAsSecondsUpToTheMaximum(String header, long millis) {
-        assertThat(reader.read(503, headers("Retry-After", header)).restMillis())
+        assertThat(reader.read(503, headers("Retry-After", header)).backOffMillis())
                 .isEqualTo(millis);
     }
 
@@ -48,15 +48,17 @@
     @Test
     public void theShutdownHeaderIsReadFromAnswersOfAnyStatus() {
         for (int status : new int[] {200, 404, 421, 500, 503}) {
-            assertThat(reader.read(status, headers(SHUTDOWN_HEADER, "1")).leaving())
+            assertThat(reader.read(status, headers(SHUTDOWN_HEADER, "1")).shuttingDown())
                     .isTrue();
         }
     }
 
     @Test
     public void otherValuesOfTheShutdownHeaderAreIgnored() {
-        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "0")).leaving()).isFalse();
-        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "")).leaving()).isFalse();
+        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "0")).shuttingDown())
+                .isFalse();
+        assertThat(reader.read(200, headers(SHUTDOWN_HEADER, "")).shuttingDown())
+                .isFalse();
     }
 
     private static HttpHeaders headers(String name, String value) {
--- a/direct/src/test/java/org/streamring/direct/feed/TableWatchTest.java
+++ b/direct/src/test/java/org/streamring/direct/feed/TableWatchTest.java
@@ -107,17 +107,17 @@
         private int lost;
 
         @Override
-        public void listed(List<StoredRow> rows) {
-            rows.forEach(this::changed);
+        public void onList(List<StoredRow> rows) {
+            rows.forEach(this::onChange);
         }
 
         @Override
-        public void changed(StoredRow row) {
+        public void onChange(StoredRow row) {
             changed.add(row.version());
         }
 
         @Override
-        public void lost(String reason) {
+        public void onUnreachable(String reason) {
             lost++;
         }
     }
--- a/direct/src/test/java/org/streamring/direct/ledger/TokenAllocatorTest.java
+++ b/direct/src/test/java/org/streamring/direct/ledger/TokenAllocatorTest.java
@@ -90,13 +90,13 @@
         List<String> names =
                 IntStream.range(0, 33).mapToObj(each -> "entry-" + each).toList();
         HomeEntries view = new HomeEntries(names.get(0));
-        view.others(names);
+        view.updatePeers(names);
         String borrower = names.stream()
                 .filter(name -> !view.of(ACCOUNT).contains(name))
                 .findFirst()
                 .orElseThrow();
         HomeEntries homeEntries = new HomeEntries(home ? view.of(ACCOUNT).get(0) : borrower);
-        homeEntries.others(names);
+        homeEntries.updatePeers(names);
         lenders = new TestLenders();
         ledger = new PrepaidLedger("entry.a", PrepaidSettings.DEFAULT);
         List<PrepaidAccount> prepaid = accounts.stream()
--- a/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
+++ b/direct/src/test/java/org/streamring/direct/peer/SilentPeersTest.java
@@ -69,7 +69,7 @@
             peers = new EntryPeers(
                     loops, loops.next(), new KeyStore(), address, own, new HomeEntries(own.name()), metrics, lines);
             HomeEntries homeEntries = new HomeEntries(name);
-            homeEntries.others(List.of(other));
+            homeEntries.updatePeers(List.of(other));
             lending = new TokenLending(loops.next(), peers, homeEntries, new Random(1), metrics, lines);
             lending.start(new AlwaysLends());
         }
--- a/entry/src/main/java/org/streamring/entry/BoxPoller.java
+++ b/entry/src/main/java/org/streamring/entry/BoxPoller.java
@@ -33,10 +33,10 @@
         Set<BackendServer> chosen = new HashSet<>(subsets.choose(listed));
         Set<String> listedNames = new HashSet<>();
         listed.forEach(server -> listedNames.add(server.name()));
-        List<BackendServer> kept = new ArrayList<>(replicas.listed());
+        List<BackendServer> kept = new ArrayList<>(replicas.backendServers());
         kept.removeIf(server -> listedNames.contains(server.name()) || !links.hasConnection(server.name()));
         chosen.addAll(kept);
-        replicas.relist(chosen);
+        replicas.updateSubset(chosen);
         links.updateSubset(chosen);
     }
 }
--- a/entry/src/main/java/org/streamring/entry/EntryProcess.java
+++ b/entry/src/main/java/org/streamring/entry/EntryProcess.java
@@ -177,7 +177,7 @@
         Gauge.builder("streamring.config.version", () -> configuration.current().version())
                 .description("Configuration version in force")
                 .register(metrics);
-        Gauge.builder("streamring.config.stale", configuration::staleOffers)
+        Gauge.builder("streamring.config.stale", configuration::ignoredVersions)
                 .description("Older configuration versions offered and ignored")
                 .register(metrics);
         Gauge.builder("streamring.attempts.open", links::openAttempts)
@@ -249,7 +249,7 @@
      * then closes all components.
      */
     @Override
-    public void stopInOrder() {
+    public void stopGracefully() {
         stopping = true;
         LOGGER.info("entry_stopping open_requests={}", coordinator.openRequests());
         callers.close();
--- a/entry/src/main/java/org/streamring/entry/caller/CallHandler.java
+++ b/entry/src/main/java/org/streamring/entry/caller/CallHandler.java
@@ -79,7 +79,7 @@
     }
 
     private void serve(ChannelHandlerContext context, FullHttpRequest request) {
-        if (!ArrivedBytes.leaveOpen(context.channel())) {
+        if (!ArrivedBytes.isOpenAfterReading(context.channel())) {
             LOGGER.debug("caller_left_before_its_call_was_received");
             return;
         }
--- a/entry/src/main/java/org/streamring/entry/config/ConfigurationPoller.java
+++ b/entry/src/main/java/org/streamring/entry/config/ConfigurationPoller.java
@@ -54,7 +54,7 @@
         List<ConfigChange> changes = rows.stream()
                 .map(row -> RowText.read(row.text(), ConfigChange.class))
                 .toList();
-        boolean gap = holder.offerChanges(changes).isPresent();
+        boolean gap = holder.applyChanges(changes).isPresent();
         return !gap && holder.current().version() >= newest;
     }
 
@@ -70,7 +70,7 @@
             after = page.isEmpty() ? after : page.get(page.size() - 1).key();
         } while (page.size() == PAGE_ROWS);
         if (newestVersion() == before) {
-            holder.offerFull(before, items);
+            holder.applyFull(before, items);
         }
     }
 
--- a/entry/src/main/java/org/streamring/entry/ledger/LedgerRunner.java
+++ b/entry/src/main/java/org/streamring/entry/ledger/LedgerRunner.java
@@ -159,13 +159,13 @@
             recordStoreState(true);
         }
         waiters.retryAll(storeUnreachable);
-        if (ledger.wantsPlanSoon()) {
+        if (ledger.needsPlanSoon()) {
             requestPlan();
         }
     }
 
     private void readUsedUpBudgets(LeaseLedger ledger) {
-        List<String> budgets = ledger.budgetsToLookAt(System.currentTimeMillis());
+        List<String> budgets = ledger.budgetsToRead(System.currentTimeMillis());
         if (budgets.isEmpty()) {
             return;
         }
@@ -174,7 +174,7 @@
             table.read(budgets.stream().map(RowKeys::remaining).toList()).forEach(row -> rows.put(row.key(), row));
             for (String budget : budgets) {
                 Row row = rows.get(RowKeys.remaining(budget));
-                ledger.lookedAt(budget, row == null ? 0 : row.amount(), System.currentTimeMillis());
+                ledger.remainingRead(budget, row == null ? 0 : row.amount(), System.currentTimeMillis());
             }
         } catch (PlatformException e) {
             recordStoreState(true);
--- a/entry/src/main/java/org/streamring/entry/peer/SidecarLinks.java
+++ b/entry/src/main/java/org/streamring/entry/peer/SidecarLinks.java
@@ -356,7 +356,7 @@
             replicas.ended(server.name(), open.get().result(frame.getEnd()), now());
             open.get()
                     .serviceTimeMillis(frame.getEnd())
-                    .ifPresent(millis -> replicas.paced(server.name(), millis, now()));
+                    .ifPresent(millis -> replicas.recordServiceTime(server.name(), millis, now()));
             open.get().listener().ended(frame.getEnd());
         }
 
--- a/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
+++ b/entry/src/main/java/org/streamring/entry/recovery/RecoveryRunner.java
@@ -148,7 +148,7 @@
         List<String> peers = LeaseCloser.peersOf(peersRows.get(0));
         Optional<List<PeerReceipts>> answers = fenceAll(peers, incarnation, skipUnanswered);
         if (answers.isPresent()) {
-            List<BillItem> voidedItems = bills.takeOver(incarnation, entryRow.amount());
+            List<BillItem> voidedItems = bills.voidUncommitted(incarnation, entryRow.amount());
             LeaseCloser.CollectedReceipts collected =
                     new LeaseCloser.CollectedReceipts(peers, answers.get(), voidedItems);
             settleAll(closer, entryRow, peersRows.get(0), collected, nowMillis);
@@ -194,7 +194,7 @@
         for (int from = 0; from < leaseRows.size(); from += LeaseCloser.MAX_LEASES) {
             List<Row> batch = leaseRows.subList(from, Math.min(leaseRows.size(), from + LeaseCloser.MAX_LEASES));
             LeaseCloser.Settlement settlement = closer.settle(entryRow, batch, collected, nowMillis);
-            bills.writeClosing(incarnation, own, LeaseCloser.leaseIdOf(batch.get(0)), settlement.items());
+            bills.writeForClosedIncarnation(incarnation, own, LeaseCloser.leaseIdOf(batch.get(0)), settlement.items());
             Optional<Row> written = committedRow(table.transact(settlement.transaction()), entryRow.key());
             if (written.isEmpty()) {
                 return;
@@ -227,9 +227,10 @@
             }
             String holder = entryOf(record.leaseId());
             Set<String> billed = bills.billedAttempts(holder, record.leaseId());
-            HeldResolver.Resolution resolution =
-                    new HeldResolver(own).onAnswer(heldRow, new PeerReceipts(peer, receipts.get()), billed, nowMillis);
-            bills.writeClosing(holder, own, record.leaseId() + "-" + heldRow.version(), resolution.items());
+            HeldResolver.Resolution resolution = new HeldResolver(own)
+                    .settleWithReceipts(heldRow, new PeerReceipts(peer, receipts.get()), billed, nowMillis);
+            bills.writeForClosedIncarnation(
+                    holder, own, record.leaseId() + "-" + heldRow.version(), resolution.items());
             if (table.transact(resolution.transaction()) instanceof Committed) {
                 LOGGER.info("held_resolved lease={} peer={}", record.leaseId(), peer);
                 links.leasesSettled(List.of(record.leaseId()));
--- a/entry/src/main/java/org/streamring/entry/request/RouteFinder.java
+++ b/entry/src/main/java/org/streamring/entry/request/RouteFinder.java
@@ -75,7 +75,7 @@
                 .incarnationOf(claim.sidecar())
                 .filter(claim.sidecarIncarnation()::equals)
                 .isPresent();
-        return services.replicas().listed().stream()
+        return services.replicas().backendServers().stream()
                 .filter(server -> connected && server.name().equals(claim.sidecar()))
                 .map(server -> new Candidate(server, claim.sidecarIncarnation(), 0, 1, 1))
                 .findFirst();
--- a/net/src/main/java/org/streamring/net/http/HttpCallException.java
+++ b/net/src/main/java/org/streamring/net/http/HttpCallException.java
@@ -4,22 +4,22 @@
 public final class HttpCallException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final boolean sent;
+    private final boolean maybeSent;
 
     /**
      * Creates an exception.
      *
      * @param step request and address of the service
      * @param reason description of the failure
-     * @param sent whether the request may have reached the service
+     * @param maybeSent whether the request may have reached the service
      */
-    public HttpCallException(String step, String reason, boolean sent) {
+    public HttpCallException(String step, String reason, boolean maybeSent) {
         super(step + ": " + reason);
-        this.sent = sent;
+        this.maybeSent = maybeSent;
     }
 
     /** Returns whether the request may have reached the service. */
-    public boolean sent() {
-        return sent;
+    public boolean maybeSent() {
+        return maybeSent;
     }
 }
--- a/net/src/main/java/org/streamring/net/http/HttpCaller.java
+++ b/net/src/main/java/org/streamring/net/http/HttpCaller.java
@@ -53,7 +53,7 @@
     }
 
     /** Sets the address of the service for subsequent calls; closes idle connections if it differs. */
-    public void moveTo(InetSocketAddress other) {
+    public void setAddress(InetSocketAddress other) {
         if (!other.equals(address)) {
             address = other;
             closeIdle();
--- a/net/src/main/java/org/streamring/net/process/ArrivedBytes.java
+++ b/net/src/main/java/org/streamring/net/process/ArrivedBytes.java
@@ -14,7 +14,7 @@
      * Reads pending bytes to detect a close by the peer, and returns whether the connection is still open. Must not be
      * called while data of the same connection is being decoded.
      */
-    public static boolean leaveOpen(Channel channel) {
+    public static boolean isOpenAfterReading(Channel channel) {
         boolean more = channel.unsafe() instanceof NioUnsafe;
         for (int i = 0; more && i < MAX_READS; i++) {
             more = readOnce(channel);
--- a/net/src/main/java/org/streamring/net/process/SettingsProgram.java
+++ b/net/src/main/java/org/streamring/net/process/SettingsProgram.java
@@ -24,7 +24,7 @@
     /** Started program. */
     public interface Running {
         /** Completes open requests, then stops. */
-        void stopInOrder();
+        void stopGracefully();
     }
 
     /** Returns the settings supported by the program. */
@@ -56,7 +56,7 @@
             StopSignal stopSignal = new StopSignal();
             Running running = start(settings);
             stopSignal.await();
-            running.stopInOrder();
+            running.stopGracefully();
             stopSignal.stopped();
             return 0;
         } catch (SettingsException e) {
--- a/net/src/main/java/org/streamring/net/settings/SettingsException.java
+++ b/net/src/main/java/org/streamring/net/settings/SettingsException.java
@@ -6,21 +6,21 @@
 public class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<String> mistakes;
+    private final transient List<String> errors;
 
     /**
      * Creates an exception.
      *
      * @param file name of the file or files
-     * @param mistakes one line per error
+     * @param errors one line per error
      */
-    public SettingsException(String file, List<String> mistakes) {
-        super(file + ":\n  " + String.join("\n  ", mistakes));
-        this.mistakes = List.copyOf(mistakes);
+    public SettingsException(String file, List<String> errors) {
+        super(file + ":\n  " + String.join("\n  ", errors));
+        this.errors = List.copyOf(errors);
     }
 
     /** Returns one line per error. */
-    public List<String> mistakes() {
-        return mistakes;
+    public List<String> errors() {
+        return errors;
     }
 }
--- a/net/src/main/java/org/streamring/platform/BillArchive.java
+++ b/net/src/main/java/org/streamring/platform/BillArchive.java
@@ -62,7 +62,7 @@
      * @param writer incarnation that settles the lease
      * @param lease settled lease; part of the object name
      */
-    public void writeClosing(String incarnation, String writer, String lease, List<BillItem> items)
+    public void writeForClosedIncarnation(String incarnation, String writer, String lease, List<BillItem> items)
             throws PlatformException {
         if (!items.isEmpty()) {
             write(incarnation, CLOSING + writer + "-" + lease.replace('/', ':'), items);
@@ -80,7 +80,7 @@
      *
      * @return the items of the voided batches, to be billed by the caller
      */
-    public List<BillItem> takeOver(String incarnation, long lastCommitted) throws PlatformException {
+    public List<BillItem> voidUncommitted(String incarnation, long lastCommitted) throws PlatformException {
         write(incarnation, CLOSED + lastCommitted, List.of());
         List<BillItem> items = new ArrayList<>();
         for (String name : objects.list(PREFIX + incarnation + "/")) {
--- a/net/src/main/java/org/streamring/platform/node/NodeSettings.java
+++ b/net/src/main/java/org/streamring/platform/node/NodeSettings.java
@@ -13,8 +13,8 @@
  * @param readiness listening address for the readiness checks of the load balancer
  * @param peers listening address for other entries
  * @param metrics listening address for the metrics endpoint
- * @param grace time from the stop signal until the process is killed
- * @param keepLapsed how long the lapsed entry of a backend server is kept after the end of a store outage
+ * @param stopGracePeriod time from the stop signal until the process is killed
+ * @param lapsedRetention how long the lapsed entry of a backend server is kept after the end of a store outage
  * @param drainTime how long a backend server keeps serving after announcing its shutdown
  * @param retries retry limit shared by all entries
  * @param cold short-term load that a cold backend server can handle above its rate
@@ -27,8 +27,8 @@
         InetSocketAddress readiness,
         InetSocketAddress peers,
         InetSocketAddress metrics,
-        Duration grace,
-        Duration keepLapsed,
+        Duration stopGracePeriod,
+        Duration lapsedRetention,
         Duration drainTime,
         RetryLimit retries,
         ColdMargin cold,
--- a/net/src/test/java/org/streamring/net/settings/DeclarationReaderTest.java
+++ b/net/src/test/java/org/streamring/net/settings/DeclarationReaderTest.java
@@ -44,7 +44,7 @@
                 """);
         SettingsException exception =
                 catchThrowableOfType(SettingsException.class, () -> DeclarationReader.read(List.of(file)));
-        assertThat(exception.mistakes()).hasSize(5);
+        assertThat(exception.errors()).hasSize(5);
         assertThat(exception.getMessage()).contains("colour", "none", "short", "nothing", "tokens");
     }
 
--- a/net/src/test/java/org/streamring/net/settings/SettingsSchemaTest.java
+++ b/net/src/test/java/org/streamring/net/settings/SettingsSchemaTest.java
@@ -28,7 +28,7 @@
         SettingsException exception = catchThrowableOfType(
                 SettingsException.class,
                 () -> schema.parse("test", "nmae = \"x\"\nmode = \"slow\"\n[listen]\nport = 70000\nwait = \"soon\"\n"));
-        assertThat(exception.mistakes()).hasSize(5);
+        assertThat(exception.errors()).hasSize(5);
         assertThat(exception.getMessage())
                 .contains(
                         "nmae",
--- a/net/src/test/java/org/streamring/platform/BillArchiveTest.java
+++ b/net/src/test/java/org/streamring/platform/BillArchiveTest.java
@@ -49,15 +49,15 @@
     public void batchesAfterTheLastCommittedTransactionOfAClosedIncarnationAreVoid() throws PlatformException {
         archive.writeSettled("entry~1", 4, List.of(item("a1")));
         archive.writeSettled("entry~1", 5, List.of(item("a2")));
-        assertThat(archive.takeOver("entry~1", 4)).containsExactly(item("a2"));
+        assertThat(archive.voidUncommitted("entry~1", 4)).containsExactly(item("a2"));
         assertThat(archive.items()).containsExactly(item("a1"));
-        archive.writeClosing("entry~1", "entry~2", "entry~1/1", List.of(item("a2")));
+        archive.writeForClosedIncarnation("entry~1", "entry~2", "entry~1/1", List.of(item("a2")));
         assertThat(archive.items()).containsExactlyInAnyOrder(item("a1"), item("a2"));
     }
 
     @Test
     public void aBatchWrittenLateByAClosedIncarnationIsVoid() throws PlatformException {
-        archive.takeOver("entry~1", 4);
+        archive.voidUncommitted("entry~1", 4);
         archive.writeSettled("entry~1", 5, List.of(item("a2")));
         assertThat(archive.items()).isEmpty();
     }
--- a/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/AttemptRunner.java
@@ -146,7 +146,7 @@
             End.Builder end = End.newBuilder().setComplete(false).setProblem(problem);
             if (running.order.repeatable() && !running.cancelled) {
                 runningAttempts.remove(running.order.attempt());
-                receiptStore.brokeOff(running.order, nowMillis());
+                receiptStore.endWithoutCharge(running.order, nowMillis());
                 deliverEnd(Usage.NONE, end);
             } else {
                 end(usage, end);
@@ -176,7 +176,7 @@
         public void notForwarded(String problem) {
             AttemptOrder order = running.order;
             runningAttempts.remove(order.attempt());
-            receiptStore.notForwarded(order, nowMillis());
+            receiptStore.withdraw(order, nowMillis());
             refuse(from, order.attempt(), RefusalReason.BACKEND_UNREACHABLE);
         }
     }
@@ -204,7 +204,7 @@
         return Load.newBuilder()
                 .setRunning(receiptStore.running())
                 .setCapacity(receiptStore.capacity())
-                .setLeaving(receiptStore.isLeaving())
+                .setLeaving(receiptStore.isShuttingDown())
                 .build();
     }
 
--- a/sidecar/src/main/java/org/streamring/sidecar/EntryFrameHandler.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/EntryFrameHandler.java
@@ -57,13 +57,13 @@
                         receiptStore.fence(frame.getFenceQuery().getEntryIncarnation()));
             case RECEIPT_QUERY -> answerReceiptQuery(from, frame.getReceiptQuery());
             case LEASES_SETTLED ->
-                receiptStore.forgetLeases(frame.getLeasesSettled().getLeaseIdsList());
+                receiptStore.removeSettledReceipts(frame.getLeasesSettled().getLeaseIdsList());
             default -> LOGGER.debug("frame_ignored peer={} kind={}", from, frame.getBodyCase());
         }
     }
 
     private void answerReceiptQuery(PeerConnection from, ReceiptQuery query) {
-        reply(from, query.getQuery(), receiptStore.receiptsFor(query.getAttemptsList()));
+        reply(from, query.getQuery(), receiptStore.queryOrBar(query.getAttemptsList()));
     }
 
     private static void reply(PeerConnection to, long query, Iterable<Receipt> receipts) {
@@ -105,19 +105,19 @@
         }
         lastOrderVersion = ping.getConfigVersion();
         boolean start = ping.getOrder().equals("start");
-        if (start == receiptStore.isLeaving()) {
+        if (start == receiptStore.isShuttingDown()) {
             LOGGER.info("backend_order version={} order={}", ping.getConfigVersion(), ping.getOrder());
         }
         if (start) {
-            receiptStore.stay();
+            receiptStore.acceptNewAttempts();
         } else {
-            receiptStore.leave();
+            receiptStore.refuseNewAttempts();
         }
     }
 
     /** Refuses new attempts until the process ends; later orders are ignored. */
     synchronized void refuseNewAttemptsUntilExit() {
         stopping = true;
-        receiptStore.leave();
+        receiptStore.refuseNewAttempts();
     }
 }
--- a/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
+++ b/sidecar/src/main/java/org/streamring/sidecar/SidecarProcess.java
@@ -73,7 +73,7 @@
                 eventLoops,
                 new InetSocketAddress(address, settings.get(SidecarSettings.ADMIN_PORT)),
                 metrics,
-                () -> !receiptStore.isLeaving());
+                () -> !receiptStore.isShuttingDown());
         LOGGER.info("sidecar_started incarnation={} port={} admin_port={}", incarnation, server.port(), admin.port());
     }
 
@@ -106,7 +106,7 @@
      * settle their receipts, then closes all connections.
      */
     @Override
-    public void stopInOrder() {
+    public void stopGracefully() {
         entryFrameHandler.refuseNewAttemptsUntilExit();
         LOGGER.info("sidecar_stopping running={}", receiptStore.running());
         long deadlineMillis = System.currentTimeMillis()
--- a/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/LedgerExperiment.java
@@ -110,7 +110,7 @@
             for (Entry entry : entries) {
                 finishRequests(entry);
                 boolean due = (tick + entry.index) % PLAN_INTERVAL_TICKS == 0 || !entry.waiting.isEmpty();
-                if (due || entry.ledger.wantsPlanSoon()) {
+                if (due || entry.ledger.needsPlanSoon()) {
                     transactAndRetryWaiting(entry);
                 }
             }
@@ -263,11 +263,11 @@
     }
 
     private void readRemaining(Entry entry) {
-        for (String budget : entry.ledger.budgetsToLookAt(nowMillis)) {
+        for (String budget : entry.ledger.budgetsToRead(nowMillis)) {
             if (reachable(entry)) {
                 long remaining =
                         table.read(List.of(RowKeys.remaining(budget))).get(0).amount();
-                entry.ledger.lookedAt(budget, remaining, nowMillis);
+                entry.ledger.remainingRead(budget, remaining, nowMillis);
             }
         }
     }
--- a/standin/src/main/java/org/streamring/standin/experiment/MeasuredSubjects.java
+++ b/standin/src/main/java/org/streamring/standin/experiment/MeasuredSubjects.java
@@ -104,7 +104,7 @@
             items.add(new ConfigItem("accounts", "account-" + i, RowText.write(account)));
         }
         ConfigurationHolder holder = new ConfigurationHolder();
-        holder.offerFull(1, items);
+        holder.applyFull(1, items);
         return holder;
     }
 
@@ -147,7 +147,7 @@
             receiptStore.end(order, Usage.NONE, 0, 0);
             leases.add(order.leaseId());
         }
-        receiptStore.forgetLeases(leases);
+        receiptStore.removeSettledReceipts(leases);
         return receiptStore;
     }
 
@@ -155,7 +155,7 @@
     static Object prefixHashes(int count) {
         PrefixIndex index = new PrefixIndex();
         for (int i = 0; i < count; i += HASHES_PER_PROMPT) {
-            index.placed(PromptPrefix.of(prompt(i)), "server-" + i % 32);
+            index.recordPlacement(PromptPrefix.of(prompt(i)), "server-" + i % 32);
         }
         return index;
     }
@@ -175,7 +175,7 @@
         for (int i = 0; i < count; i++) {
             servers.add(new BackendServer("s" + i, "llm", "d" + i % 4, "127.0.0.1", 1, false));
         }
-        table.relist(servers);
+        table.updateSubset(servers);
         servers.forEach(server -> table.connected(server.name(), server.name() + "~1"));
         ReplicaSelector selector = new ReplicaSelector(RoutingStrategy.ADAPTIVE, new SplittableRandom(1));
         return () ->
@@ -268,7 +268,7 @@
         AtomicLong version = new AtomicLong(1);
         return () -> {
             String text = RowText.write(change(version.incrementAndGet()));
-            holder.offerChanges(List.of(RowText.read(text, ConfigChange.class)));
+            holder.applyChanges(List.of(RowText.read(text, ConfigChange.class)));
         };
     }
 
--- a/standin/src/main/java/org/streamring/standin/model/ForecastWait.java
+++ b/standin/src/main/java/org/streamring/standin/model/ForecastWait.java
@@ -17,7 +17,7 @@
 
     @Override
     public WaitDecision decide(WaitQuery query) {
-        double expectedWaitMillis = (query.ahead() + 1) / Math.max(1e-6, query.freedPerMilli());
+        double expectedWaitMillis = (query.ahead() + 1) / Math.max(1e-6, query.slotsReleasedPerMilli());
         boolean withinTarget = query.waitedMillis() + expectedWaitMillis <= query.targetMillis() * MAX_PART_OF_TARGET;
         return withinTarget
                 ? WaitDecision.WAIT
--- a/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
+++ b/standin/src/main/java/org/streamring/standin/model/ModelEntry.java
@@ -73,11 +73,11 @@
     }
 
     void receiveReport(String entry, PlacementReport report) {
-        placement.reported(entry, report, id -> fleet.traitsOf(id).memoryTokens(), time.millis());
+        placement.applyReport(entry, report, id -> fleet.traitsOf(id).memoryTokens(), time.millis());
     }
 
     void coldReplicaAdded(String replica, long millis) {
-        coldReplicas.heard(replica, millis, time.millis());
+        coldReplicas.recordCold(replica, millis, time.millis());
     }
 
     /** Accepts a try of a call. */
@@ -98,7 +98,7 @@
     Optional<BackendInstance> choose(Call call, PlacementQuery query) {
         long now = time.millis();
         List<BackendInstance> ready = fleet.listedReplicas(call.kind()).stream()
-                .filter(instance -> coldReplicas.takes(instance.id(), fleet.coldLimit(call.kind()), now))
+                .filter(instance -> coldReplicas.mayPlace(instance.id(), fleet.coldLimit(call.kind()), now))
                 .toList();
         return placement.choose(query, fleet.traits(call.kind()), ready, settings.entries(), now);
     }
@@ -136,7 +136,7 @@
 
     /** Records that a slot became free, and sends waiting requests. */
     void slotReleased() {
-        slotReleaseRate.freed(time.millis());
+        slotReleaseRate.recordRelease(time.millis());
         sendWaiting();
     }
 
