--- a/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
+++ b/core/src/test/java/org/streamring/kernel/permit/LimitDivisionStrategies.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 import org.streamring.kernel.routing.RendezvousHash;
 
-/** Strategies for dividing a server's limit among entries, compared by {@link LimitFleet}. */
+/** Strategies for dividing a server's limit among entries, compared by {@link LimitSimulation}. */
 final class LimitDivisionStrategies {
     private LimitDivisionStrategies() {}
 
